--- a/runtime/src/main/java/org/hornbeamusher/companion/CompanionDaemon.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/CompanionDaemon.java
@@ -37,30 +37,30 @@
 import org.hornbeamusher.wire.WireTransport;
 
 /**
- * The agent beside an engine: tells the entries what the engine holds, and orders it to hold what
- * they ask for. Requests do not pass through it, so that they survive its loss.
+ * The agent beside an engine: reports to the entries which adapters the engine holds, and orders it
+ * to load the adapters they need. Requests do not pass through the agent and so survive its loss.
  *
- * <p>At most one call to the engine is under way at any time. An order is decided on the newest
- * report, and no order follows before the report that shows what the last one did. That report also
- * shows whether the engine has started again meanwhile: then neither the order nor its answer
- * counts for anything, whichever life gave it.
+ * <p>At most one call to the engine is in progress at any time. Each order is decided on the latest
+ * report, and the next order waits for a report taken after it. That report also shows whether the
+ * engine has restarted in the meantime; if so, the order and its result are disregarded, whichever
+ * incarnation gave the result.
  */
 public final class CompanionDaemon implements WireListener {
 
   private static final int PROTOCOL = 1;
 
-  /** A load takes 25 ms when a copy is at hand; asking is a call on the same instance. */
+  /** A load from the engine's cache takes 25 ms, and a report is a call on the same instance. */
   private static final long BUSY_REPORT_MILLIS = 20;
 
-  /** How long a restart of the engine may go unnoticed. */
+  /** Bounds how long a restart of an idle engine goes unnoticed. */
   private static final long IDLE_REPORT_MILLIS = 400;
 
   private static final long DOWN_REPORT_MILLIS = 150;
 
-  /** At 0.4 s each, an engine that went silent is given up after 1.5 s. */
+  /** At 0.4 s each, an engine that does not answer counts as unreachable after 1.5 s. */
   private static final int MOST_FAILED_REPORTS = 3;
 
-  /** How late what only time brings may be noticed: a withdrawal that is due, a wait that ends. */
+  /** Interval at which time-based events (withdrawals, expired waits) are checked. */
   private static final long TICK_MILLIS = 20;
 
   private final CompanionSettings settings;
@@ -79,10 +79,10 @@
 
   private final EngineIdentity identity = new EngineIdentity();
 
-  /** What the engine has stated of when it takes calls of this agent. */
+  /** Retry-After periods that the engine has stated for calls of this agent. */
   private final EndpointAvailability availability = new EndpointAvailability();
 
-  /** Which incarnations of the engine have stated that they are leaving. */
+  /** Incarnations of the engine that have stated that they are draining. */
   private final AvailabilityRegister statements = new AvailabilityRegister();
 
   private boolean calling;
@@ -91,7 +91,7 @@
   private long nextReportMillis;
   private boolean stopped;
 
-  /** Whether {@link #act} runs at the end of this turn of the loop, after what else came in it. */
+  /** Whether {@link #act} is scheduled, after the tasks that are already queued in the loop. */
   private boolean actingSoon;
 
   private EventLoop.Timer wakeUp = () -> {};
@@ -100,12 +100,12 @@
   /**
    * Creates an agent that is not started.
    *
-   * @param settings its instance
+   * @param settings settings of its instance
    * @param engine calls to the engine
-   * @param lease numbers its orders
+   * @param lease source of the fencing numbers of its orders
    * @param transport accepts the entries' connections
-   * @param loop where it decides
-   * @param clock monotonic
+   * @param loop event loop that runs all of its decisions
+   * @param clock monotonic clock
    */
   public CompanionDaemon(
       CompanionSettings settings,
@@ -136,9 +136,9 @@
   }
 
   /**
-   * Returns what the agent counts.
+   * Returns the agent's metrics.
    *
-   * @return orders by answer, entries connected, places that are free
+   * @return orders by result, connected entries, free adapter slots and others
    */
   public MetricRegistry registry() {
     return registry;
@@ -153,7 +153,7 @@
     registry.gauge("agent.engine_reachable", () -> reachableNow);
   }
 
-  /** Listens and starts to ask the engine. */
+  /** Starts to listen for entries and to poll the engine. */
   public void start() {
     registerGauges();
     server.start();
@@ -171,16 +171,16 @@
         settings.entries());
   }
 
-  /** Closes everything. */
+  /** Stops the agent and closes its connections. */
   public void stop() {
     loop.execute(() -> stopped = true);
     server.stop();
   }
 
   /**
-   * Takes what the configuration says of the engine.
+   * Applies the engine's specification from the configuration.
    *
-   * @param engineSpec its places and models
+   * @param engineSpec its adapter slots and models
    */
   public void configured(EngineSpec engineSpec) {
     if (engineSpec.equals(spec)) {
@@ -195,10 +195,10 @@
   }
 
   /**
-   * Takes a version of an adapter.
+   * Applies a published version of an adapter.
    *
    * @param adapter the adapter
-   * @param version any version; an older one than that in force is ignored
+   * @param version any version; a version older than the one in force is ignored
    */
   public void versioned(AdapterKey adapter, long version) {
     if (versions.offer(adapter, version)) {
@@ -207,7 +207,7 @@
     }
   }
 
-  /** An answer of the engine, to whatever call, says that the engine is leaving. */
+  /** Handles a response of the engine, to any call, which states that the engine is draining. */
   public void engineLeaving() {
     loop.execute(
         () -> {
@@ -266,7 +266,7 @@
       case Message.Release release ->
           places.release(new ReservationId(entry, release.reservation()));
       default -> {
-        // A newer entry may say more than this agent understands.
+        // A newer entry may send messages that this agent does not know.
       }
     }
     actSoon();
@@ -282,7 +282,7 @@
         clock.millis() + reserve.aimMillis());
   }
 
-  /** Many messages come in one turn; what they change is acted on once. */
+  /** Schedules {@link #act} once for all messages that are processed before it runs. */
   private void actSoon() {
     if (!actingSoon) {
       actingSoon = true;
@@ -290,7 +290,7 @@
     }
   }
 
-  /** Does whatever is due: grants, an order or a question to the engine, reports to the entries. */
+  /** Performs all that is due: grants, a call to the engine, reports to the entries. */
   private void act() {
     actingSoon = false;
     if (stopped) {
@@ -311,7 +311,7 @@
     wakeUpAt(Math.min(nextReportMillis, reportDueMillis));
   }
 
-  /** An engine at which nothing waits is looked at when something is due, and not before. */
+  /** Schedules the next {@link #act}; without waiting requests only for the given time. */
   private void wakeUpAt(long nextMillis) {
     long now = clock.millis();
     boolean pending = places == null || places.pending();
@@ -380,8 +380,8 @@
   }
 
   /**
-   * Takes a refusal that states when the engine takes calls again. It says nothing about what the
-   * engine holds, so that what was reported last stays.
+   * Handles a refusal with a Retry-After period. It contains no information about what the engine
+   * holds, so the last report stays valid.
    */
   private boolean backsOff(Throwable thrown) {
     if (thrown == null) {
@@ -420,7 +420,7 @@
     if (verdict.known()) {
       take(said);
     } else {
-      // Nothing of it is believed before the id of its life is known.
+      // The report is not used before the id of the incarnation is known.
       nextReportMillis = clock.millis() + (spec == null ? BUSY_REPORT_MILLIS : 0);
     }
     if (verdict == EngineIdentity.Verdict.NAMED) {
@@ -435,8 +435,8 @@
   private void lifeNamed(EngineReport said) {
     logSeen(said);
     if (places != null) {
-      // Before any grant: a request that hears of the grant first would be sent to this life in the
-      // name of the former one, and given up when the entry hears of this one.
+      // Sent before any grant: an entry that received the grant first would send the request on
+      // behalf of the previous incarnation and abandon it when it learns of this one.
       reportHoldings();
     }
   }
@@ -462,9 +462,9 @@
   }
 
   /**
-   * Whatever was known of the engine ended with its former life. An order to that life may still be
-   * on its way, and the engine's id and, by chance, its count of orders may be those that the order
-   * names; the higher number of this life's orders has the engine refuse it.
+   * Discards the state of the previous incarnation. An order to that incarnation may still be in
+   * transit, and the engine's id and, by chance, its count of orders may match those in the order;
+   * the higher fencing number of the new orders makes the engine refuse it.
    */
   private void lifeEnded(EngineIdentity.Verdict verdict) {
     report = null;
@@ -475,14 +475,15 @@
     if (verdict == EngineIdentity.Verdict.RESTARTED) {
       places.restarted();
     } else {
-      // Entries cannot tell these two lives apart, and keep what waits in line here.
+      // Entries cannot tell these two incarnations apart and keep their requests waiting here.
       places.lost();
     }
   }
 
   /**
-   * One report that is late says nothing of the engine: this process may have been starved. Refused
-   * connections do, and so do several reports in a row that never came.
+   * Handles a failed call. A single timeout does not make the engine unreachable, because this
+   * process may have been starved of CPU time; a refused connection or several consecutive timeouts
+   * do.
    */
   private void unreachable(Throwable thrown) {
     nextReportMillis = clock.millis() + DOWN_REPORT_MILLIS;
--- a/runtime/src/main/java/org/hornbeamusher/companion/CompanionSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/CompanionSettings.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * What an agent beside an engine needs to know of its instance.
+ * Settings of an agent beside an engine.
  *
  * @param instance the instance's name
  * @param zone its availability zone
- * @param entries where entries connect
- * @param metrics where it serves its metrics
- * @param engine the engine's address, host and port joined by a hyphen; names its row of fencing
- *     numbers, and tells entries which endpoint of their list the agent stands beside
+ * @param entries address where entries connect
+ * @param metrics address where it serves its metrics
+ * @param engine the engine's address, host and port joined by a hyphen; key of its row of fencing
+ *     numbers, and identifies the agent's endpoint in the endpoint lists of the entries
  */
 public record CompanionSettings(
     String instance,
--- a/runtime/src/main/java/org/hornbeamusher/companion/ConnectedEntries.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/ConnectedEntries.java
@@ -18,51 +18,50 @@
 import org.hornbeamusher.wire.WireConnection;
 
 /**
- * The entries that are connected to an agent, and what was reported to each.
+ * The entries that are connected to an agent, and the last state reported to each.
  *
- * <p>Whatever an entry places by is reported when it changes and not again: holdings at once,
- * because a request that is sent to an adapter that was withdrawn comes back; load and costs at a
- * pace, because they change with each request.
+ * <p>The data that entries use for placement is reported only when it changes: holdings at once,
+ * because a request for a withdrawn adapter would be refused; load and costs at a limited rate,
+ * because they change with each request.
  *
  * <p>Confined to the agent's loop.
  */
 final class ConnectedEntries {
 
-  /** Entries place by it; in this time each sends one request or none. */
+  /** Minimum interval of load reports; each entry sends at most about one request in this time. */
   private static final long LOAD_MILLIS = 60;
 
   private final Map<WireConnection, Entry> entries = new HashMap<>();
 
-  /** The holdings that every connected entry has; null when one of them has not. */
+  /** The holdings last reported to every connected entry; null while an entry has none. */
   private Holdings reported;
 
   private long nextLoadMillis;
   private long numbers;
 
-  /** Counts them. */
   int size() {
     return entries.size();
   }
 
-  /** An entry has connected; everything is reported to it. */
+  /** Adds an entry that has connected; the next reports to it are complete. */
   void opened(WireConnection connection) {
     entries.put(connection, new Entry(++numbers));
     reported = null;
   }
 
-  /** A connection is lost; returns the number by which its reservations are known. */
+  /** Removes a lost connection and returns the number that identifies its reservations. */
   OptionalLong closed(WireConnection connection) {
     Entry entry = entries.remove(connection);
     return entry == null ? OptionalLong.empty() : OptionalLong.of(entry.number);
   }
 
-  /** Returns the number by which an entry's reservations are known; empty when it is not known. */
+  /** Returns the number that identifies an entry's reservations; empty for an unknown entry. */
   OptionalLong number(WireConnection connection) {
     Entry entry = entries.get(connection);
     return entry == null ? OptionalLong.empty() : OptionalLong.of(entry.number);
   }
 
-  /** Notifies the entry that made a reservation that its adapter can be used. */
+  /** Notifies the entry that made a reservation that its adapter is ready. */
   void granted(ReservationId id) {
     entries.forEach(
         (connection, entry) -> {
@@ -75,9 +74,9 @@
   /**
    * Reports what the engine holds, if that has changed.
    *
-   * @param life the life of the engine that is seen; empty while none is
+   * @param life the current incarnation of the engine; empty while the engine is unreachable
    * @param places what it holds
-   * @param sharing how many entries share what all entries may do together
+   * @param sharing the number of entries that share the common limits
    * @param leaving whether it takes no new work
    */
   void reportHoldings(
@@ -91,11 +90,11 @@
   }
 
   /**
-   * Reports what the engine has to do and what loads cost there, if that has changed and is due.
+   * Reports the engine's workload and load costs to each entry, if they have changed and are due.
    *
    * @param places what it holds
    * @param now milliseconds
-   * @return when it is due again; {@link Long#MAX_VALUE} when every entry knows everything
+   * @return when the next report is due; {@link Long#MAX_VALUE} when no entry has one outstanding
    */
   long reportLoad(AdapterPlaces places, long now) {
     if (now < nextLoadMillis) {
@@ -115,13 +114,13 @@
   }
 
   /**
-   * What is reported to every entry alike.
+   * The state that is reported identically to every entry.
    *
-   * @param life the life of the engine that is seen
-   * @param held what can be used
-   * @param coming what is on its way
-   * @param entries how many entries there are
-   * @param leaving whether it takes no new work
+   * @param life the current incarnation of the engine
+   * @param held adapters and base models that can be used
+   * @param coming adapters that are being loaded
+   * @param entries the number of entries
+   * @param leaving whether the engine takes no new work
    */
   private record Holdings(
       Optional<EndpointLife> life,
--- a/runtime/src/main/java/org/hornbeamusher/companion/EngineCalls.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/EngineCalls.java
@@ -10,34 +10,34 @@
 /**
  * The calls an agent makes to the engine beside it.
  *
- * <p>A call that the engine refuses with a time to come back fails with {@code ENDPOINT_BACKOFF},
- * which has that time.
+ * <p>A call that the engine refuses with a Retry-After period fails with {@code ENDPOINT_BACKOFF},
+ * which carries that period.
  */
 public interface EngineCalls {
 
   /**
-   * Asks the engine what it holds.
+   * Requests a report of the engine's state.
    *
-   * @return its report; fails while nothing answers
+   * @return the report; fails while the engine does not answer
    */
   CompletableFuture<EngineReport> report();
 
   /**
-   * Asks the engine for its id, which a report does not name.
+   * Requests the engine's id, which a report does not contain.
    *
-   * @return its id; a later life may have the same; fails while nothing answers
+   * @return the id; a later incarnation may have the same; fails while the engine does not answer
    */
   CompletableFuture<EndpointId> id();
 
   /**
-   * Orders something.
+   * Sends an order.
    *
    * @param order the order
-   * @param engine the engine that is meant; one with another id refuses the order
-   * @param sequence how many orders it had accepted when this one was decided; it refuses the order
-   *     if it has accepted others since
-   * @param fencing the number of this agent
-   * @return what the engine said; {@code UNKNOWN} when no answer was received
+   * @param engine the intended engine; one with another id refuses the order
+   * @param sequence the number of orders it had accepted when this one was decided; it refuses the
+   *     order if it has accepted others since
+   * @param fencing the fencing number of this agent
+   * @return the result; {@code UNKNOWN} when no response was received
    */
   CompletableFuture<OrderAnswer> order(
       EngineOrder order, EndpointId engine, long sequence, FencingNumber fencing);
--- a/runtime/src/main/java/org/hornbeamusher/companion/EngineIdentity.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/EngineIdentity.java
@@ -6,43 +6,46 @@
 import org.hornbeamusher.ids.EndpointLife;
 
 /**
- * Decides which life of the engine a report is of.
+ * Determines which incarnation of the engine a report comes from.
  *
- * <p>A report names the start of the engine's life but not its id, and a later life may have the id
- * of the former one or another. The id is asked for once a life; it belongs to the start that the
- * reports before and after the asking agree on, because the engine may have started again in
- * between. An engine that was silent and comes back with the start that it had is still in that
- * life and is not asked.
+ * <p>A report contains the start time of the incarnation but not the engine's id, and a later
+ * incarnation may have the same id or another. The id is requested once per incarnation. It is
+ * assigned to a start time only when the reports before and after the request agree on that time,
+ * because the engine may have restarted in between. An unreachable engine that returns with the
+ * same start time is still the same incarnation, and its id is not requested again.
  *
- * <p>Any other start is a later life, whatever its value: reports are asked for one at a time and
- * of an engine on the same instance, so none overtakes another, and only the clock of the engine
- * could make a later start look earlier. A count of orders that has gone back shows a restart too,
- * also where no start is named.
+ * <p>Any other start time is a later incarnation, whatever its value: reports are requested one at
+ * a time from an engine on the same instance, so none overtakes another, and only a clock that was
+ * set back makes a later start look earlier. A decreased count of orders indicates a restart too,
+ * also when no start time is stated.
  *
- * <p>Example: starts 100, 100, silence, 70. The id is asked for after the first report and the
- * second confirms it; 70 is another life, whose id is asked for again.
+ * <p>Example: start times 100, 100, no answer, 70. The id is requested after the first report and
+ * confirmed by the second; 70 is another incarnation, whose id is requested again.
  */
 final class EngineIdentity {
 
-  /** What a report says of the life it is of. */
+  /** The relation of a report to the known incarnation. */
   enum Verdict {
-    /** It is of the life that is known. */
+    /** The report comes from the known incarnation. */
     SAME,
-    /** It is the first of a life whose id is known by now. */
+    /** The report is the first since the id of its incarnation became known. */
     NAMED,
-    /** It is of a life whose id has to be asked for. */
+    /** The report comes from an incarnation whose id has to be requested. */
     UNNAMED,
-    /** It names another start than that of the life that was known; its id has to be asked for. */
+    /** The start time differs from the known incarnation's; the id has to be requested. */
     RESTARTED,
-    /** Its count of orders has gone back under the same start, or under none; likewise. */
+    /**
+     * The count of orders has decreased under the same or no start time; the id has to be
+     * requested.
+     */
     COUNT_RESET;
 
-    /** Tells whether the report is of a life whose id is known. */
+    /** Tells whether the report comes from an incarnation whose id is known. */
     boolean known() {
       return this == SAME || this == NAMED;
     }
 
-    /** Tells whether the life that was known has ended. */
+    /** Tells whether the known incarnation has ended. */
     boolean ended() {
       return this == RESTARTED || this == COUNT_RESET;
     }
@@ -55,7 +58,7 @@
   private long startMillis = EndpointLife.UNKNOWN_START;
   private long sequence;
 
-  /** Takes a report. */
+  /** Compares a report with the known incarnation and records it. */
   Verdict reported(EngineReport report) {
     boolean restarted = seen && !EndpointLife.sameStart(report.startMillis(), startMillis);
     boolean reset = seen && report.sequence() < sequence;
@@ -87,12 +90,12 @@
     return known ? end : Verdict.UNNAMED;
   }
 
-  /** Takes the id that the engine gave when it was asked; the next report confirms it. */
+  /** Records the id that the engine returned; the next report confirms it. */
   void named(EndpointId id) {
     named = Optional.of(id);
   }
 
-  /** The engine does not answer, or says that it is not the one that was meant. */
+  /** Handles an engine that does not answer. */
   void lost() {
     silent = true;
     if (startMillis == EndpointLife.UNKNOWN_START) {
@@ -100,7 +103,7 @@
     }
   }
 
-  /** The engine says that it has another id than the one known. */
+  /** Handles the engine's statement that it has another id than the known one. */
   void refuted() {
     forget();
   }
@@ -112,12 +115,12 @@
     silent = true;
   }
 
-  /** Tells whether the engine has to be asked for its id. */
+  /** Tells whether the engine's id has to be requested. */
   boolean needsName() {
     return seen && !silent && life.isEmpty() && named.isEmpty();
   }
 
-  /** Returns the life that the last report was of; empty while the engine is silent or unnamed. */
+  /** Returns the incarnation of the last report; empty while it is unreachable or without id. */
   Optional<EndpointLife> current() {
     return silent ? Optional.empty() : life;
   }
--- a/runtime/src/main/java/org/hornbeamusher/companion/EntryServices.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/EntryServices.java
@@ -12,8 +12,8 @@
 import org.hornbeamusher.wire.WireConnection;
 
 /**
- * What an agent does for all entries together and not for its own engine: it relays usage of quotas
- * and permits requests to endpoints that limit their rate. Confined to the loop.
+ * Services of an agent for all entries that do not concern its own engine: it relays quota usage
+ * and grants permits for requests to rate-limited endpoints. Confined to the event loop.
  */
 final class EntryServices {
 
@@ -38,12 +38,12 @@
     usage.closed(entry);
   }
 
-  /** Counts the entries, also those that are out of reach for now. */
+  /** Returns the number of entries, including those that are currently unreachable. */
   int entries() {
     return usage.entries();
   }
 
-  /** Takes a message of an entry, or returns false when it is for somebody else. */
+  /** Handles a message of an entry; returns false when it is for another component. */
   boolean received(WireConnection entry, Message message) {
     switch (message) {
       case Message.UsageReport report -> usage.received(entry, report);
--- a/runtime/src/main/java/org/hornbeamusher/companion/FencingNumbers.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/FencingNumbers.java
@@ -9,12 +9,12 @@
 import org.hornbeamusher.loop.EventLoop;
 
 /**
- * The fencing number of an agent's orders.
+ * Maintains the fencing number of an agent's orders.
  *
- * <p>It is taken from the table service. While that is away at the start, orders are numbered from
- * one upwards: each refusal raises the number until the engine takes it, because loads must go on
- * and the one process in the slot beside the engine is the only one that orders it. The number from
- * the table, once it answers, is above all that was used.
+ * <p>The number is acquired from the table service. While that is unavailable at the start, numbers
+ * begin at one and each refusal raises them until the engine accepts one. This is safe because only
+ * one agent process runs beside an engine, and it is necessary because loads must continue. The
+ * number from the table, once it answers, is above all numbers used before.
  */
 final class FencingNumbers {
 
@@ -27,7 +27,7 @@
   private boolean taken;
   private boolean asking;
 
-  /** Whether orders wait for the answer of the table. */
+  /** Whether orders wait for the response of the table. */
   private boolean held;
 
   private boolean retrying;
@@ -42,12 +42,12 @@
     ask(number - 1);
   }
 
-  /** Returns the number; empty until the table has answered or has failed once. */
+  /** Returns the current number; empty while orders wait for the table to answer or fail. */
   Optional<FencingNumber> current() {
     return asking && held ? Optional.empty() : Optional.of(new FencingNumber(number));
   }
 
-  /** The engine has seen a higher number. */
+  /** Raises the number after the engine has refused it as too low. */
   void refused() {
     number += step;
     step *= 2;
@@ -59,8 +59,9 @@
   }
 
   /**
-   * The engine has started again and has seen no number. Orders go on with the next one at once,
-   * also while the table is away; the table learns of it meanwhile.
+   * Raises the number after a restart of the engine, whose new incarnation has seen none. Orders
+   * continue with it at once, also while the table is unavailable; the table is updated in
+   * parallel.
    */
   void advance() {
     number++;
--- a/runtime/src/main/java/org/hornbeamusher/companion/UsageRelayService.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/UsageRelayService.java
@@ -8,8 +8,8 @@
 import org.hornbeamusher.wire.WireConnection;
 
 /**
- * Passes usage of client accounts' quotas on between the entries that report it to this agent.
- * Confined to the loop.
+ * Relays the quota usage of client accounts between the entries that report it to this agent.
+ * Confined to the event loop.
  */
 final class UsageRelayService {
 
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Entries take a relay that says nothing for unreachable, so it also speaks without changes. */
+  /** Also sends without changes, because entries consider a silent relay unreachable. */
   private void passRegularly() {
     regular = relay.used(clock.millis());
     if (regular) {
--- a/runtime/src/test/java/org/hornbeamusher/companion/EngineIdentityTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/companion/EngineIdentityTest.java
@@ -31,8 +31,8 @@
   }
 
   /**
-   * The engine was silent for a while, in the life that it had. Its id was asked for again each
-   * time, with a health check that is priced and that waits for a slot behind the requests.
+   * Guards against requesting the id again after the same incarnation was unreachable for a while.
+   * The request is a health check that is billed and waits for a batch slot behind the requests.
    */
   @Test
   void engineThatWasSilentIsKnownByItsStart() {
@@ -45,8 +45,8 @@
   }
 
   /**
-   * The engine starts again under its id so fast that no report is missed, and its count of orders
-   * is at zero in both lives. Nothing but its start shows it.
+   * The engine restarts under its id so fast that no report is missed, and its count of orders is
+   * zero in both incarnations. Only the start time shows the restart.
    */
   @Test
   void anotherStartIsAnotherLife() {
@@ -56,7 +56,7 @@
     assertTrue(identity.needsName());
   }
 
-  /** The clock of the instance was set back before the engine started again. */
+  /** The clock of the instance was set back before the engine restarted. */
   @Test
   void earlierStartIsAnotherLifeToo() {
     known(100);
@@ -67,8 +67,8 @@
   }
 
   /**
-   * The engine starts again between the report and the question for its id, under another id. The
-   * id that it gave would be taken for that of the former life, and entries would send to it.
+   * Guards against assigning an id to the wrong incarnation, to which entries would then send. The
+   * engine restarts under another id between a report and the request for its id.
    */
   @Test
   void idThatWasGivenInBetweenLivesIsAskedForAgain() {
@@ -81,7 +81,7 @@
     assertEquals(new EndpointId("other"), identity.current().orElseThrow().id());
   }
 
-  /** An engine that names no start: only its count of orders shows that it started again. */
+  /** An engine that states no start time: only its count of orders shows the restart. */
   @Test
   void countOfOrdersThatGoesBackShowsAnotherLife() {
     report(EndpointLife.UNKNOWN_START, 3);
@@ -91,7 +91,7 @@
     assertTrue(identity.needsName());
   }
 
-  /** An engine that names no start and was silent may have started again; its id is asked for. */
+  /** An engine without a start time may have restarted while it was unreachable. */
   @Test
   void silenceWithoutStartMayHideAnotherLife() {
     report(EndpointLife.UNKNOWN_START, 0);
@@ -101,7 +101,7 @@
     assertEquals(Verdict.UNNAMED, report(EndpointLife.UNKNOWN_START, 0));
   }
 
-  /** The engine refuses an order because it has another id; the same start does not save it. */
+  /** The engine refuses an order because it has another id, under the same start time. */
   @Test
   void refutedIdIsAskedForAgain() {
     known(100);
--- a/runtime/src/test/java/org/hornbeamusher/companion/EngineRestartTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/companion/EngineRestartTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What an agent does when the engine beside it starts again under the id that it had. */
+/** Behaviour of an agent when its engine restarts under the same id. */
 class EngineRestartTest {
 
   private static final EndpointId ID = new EndpointId("e");
@@ -65,9 +65,9 @@
   }
 
   /**
-   * The engine starts again while it loads its base model. The load is lost with the former life;
-   * the agent that still awaited it would order nothing, and callers would get nothing from that
-   * engine. The load is ordered once in each life, on what that life says of itself.
+   * Guards against waiting for a load of the base model that was lost in an engine restart: the
+   * agent would order nothing more, and the engine would serve no requests. Each incarnation must
+   * be ordered to load once, based on its own report.
    */
   @Test
   void loadIsOrderedAgainInTheNextLife() {
@@ -80,8 +80,8 @@
   }
 
   /**
-   * An order to the former life is carried out late, when the next life has accepted as many orders
-   * as the order names. Its id is the same and so is the count; only the fencing number is not.
+   * Guards against a late order to the previous incarnation that the next one would accept because
+   * its id and its count of orders match those in the order. Only the fencing number differs.
    */
   @Test
   void ordersOfTheNextLifeHaveHigherFencingNumbers() {
@@ -92,8 +92,8 @@
   }
 
   /**
-   * The engine starts again while the table of fencing numbers is away. Loads go on, with a higher
-   * number that the table learns of when it is back.
+   * The engine restarts while the table of fencing numbers is unavailable. Loads continue with a
+   * higher number, which is written to the table when it is available again.
    */
   @Test
   void nextLifeIsOrderedWhileTheTableIsAway() {
@@ -110,8 +110,8 @@
   }
 
   /**
-   * The engine starts again under its id, its answer to an order still being on its way. The order
-   * counts for nothing, although it was accepted, and the load is ordered anew.
+   * The engine restarts while its result of an order is in transit. The accepted order was lost
+   * with the previous incarnation, and the load must be ordered again.
    */
   @Test
   void answerOfTheFormerLifeCountsForNothing() {
@@ -125,9 +125,7 @@
     assertEquals(2, engine.accepted.size());
   }
 
-  /**
-   * The engine starts twice between two reports; the life in the middle is not missed by anyone.
-   */
+  /** The engine restarts twice between two reports; the agent handles this as one restart. */
   @Test
   void twoStartsBetweenTwoReportsAreOne() {
     pass(500);
@@ -139,8 +137,8 @@
   }
 
   /**
-   * The agent could not reach its engine for seconds, and the engine went on in its life. It is
-   * neither asked for its id again nor ordered anything again.
+   * Guards against mistaking an outage of several seconds for a restart: the same incarnation must
+   * not be asked for its id or ordered to load again.
    */
   @Test
   void silenceIsNoRestart() {
@@ -154,7 +152,7 @@
     assertEquals(1, engine.asked);
   }
 
-  /** The engine started again while the agent could not reach it. */
+  /** The engine restarts while the agent cannot reach it. */
   @Test
   void restartBehindSilenceIsNoticed() {
     pass(500);
@@ -167,7 +165,7 @@
     assertEquals(2, engine.asked);
   }
 
-  /** The engine starts again while it drains, and takes work again. */
+  /** The engine restarts while it drains, and takes work again. */
   @Test
   void nextLifeOfDrainingEngineIsOrdered() {
     pass(500);
@@ -186,7 +184,7 @@
     }
   }
 
-  /** Loads its base model when it is ordered to, and is busy until it is told to finish. */
+  /** Loads its base model when ordered to, and is busy until {@link #finishLoad}. */
   private static final class Engine implements EngineCalls {
 
     private final List<Long> accepted = new ArrayList<>();
@@ -251,7 +249,7 @@
     }
   }
 
-  /** No entry connects. */
+  /** A transport to which no entry connects. */
   private static final class NoEntries implements WireTransport, WireService {
 
     @Override
@@ -272,7 +270,7 @@
     public void stop() {}
   }
 
-  /** Runs what is due when the test says so. */
+  /** An event loop that runs due tasks when the test calls {@link #runDue}. */
   private final class Loop implements EventLoop {
 
     private final Queue<Runnable> ready = new ArrayDeque<>();
