--- a/runtime/src/main/java/org/hornbeamusher/agent/AgentAttempt.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AgentAttempt.java
@@ -13,29 +13,30 @@
 import org.hornbeamusher.wire.WireConnection;
 
 /**
- * One attempt at this agent: turns the endpoint's answer into frames.
+ * One attempt at this agent: converts the endpoint's response into frames.
  *
- * <p>The entry grants credit in bytes. When it is used up, reading from the endpoint pauses, so
- * that a caller that reads slowly holds back its own endpoint stream and fills nobody's memory.
+ * <p>Flow control is by credit in bytes, which the entry grants. When the credit is used up,
+ * reading from the endpoint pauses, so that a slow caller slows down only its own endpoint stream
+ * and no data accumulates in memory.
  */
 final class AgentAttempt implements HttpStreamListener {
 
-  /** How an attempt's answer ends, told to the agent's serial part. */
+  /** Receives the events of an attempt's response. */
   interface Ending {
 
     /** Returns whether the endpoint may be sent a request now. */
     boolean takesRequests();
 
-    /** The endpoint's refusal states for how long it takes no requests of this agent. */
+    /** Called when a response of the endpoint states a Retry-After period. */
     void backedOff(StatedRetryAfter stated);
 
-    /** The endpoint's answer was whole. */
+    /** Called when the endpoint's response is complete. */
     void answered(AgentAttempt attempt);
 
-    /** The endpoint answered with an error instead of a run. */
+    /** Called when the endpoint answered with an error status and did not run the attempt. */
     void rejected(AgentAttempt attempt, int status, String body);
 
-    /** The endpoint's answer was cut, or the endpoint could not be reached. */
+    /** Called when the endpoint's response was truncated or the endpoint was unreachable. */
     void failed(AgentAttempt attempt, HornbeamusherException failure);
   }
 
@@ -50,7 +51,7 @@
   private final CRC32C checksum = new CRC32C();
   private final ByteArrayOutputStream error = new ByteArrayOutputStream();
 
-  /** Chunks sent so far; the next one carries this number. */
+  /** Number of chunks sent so far, which is the number of the next chunk. */
   private long chunks;
 
   private int errorStatus;
@@ -58,7 +59,7 @@
 
   private volatile String startedOn = "";
 
-  /** How often the endpoint proved that it did not run the attempt and it was queued again. */
+  /** How often the attempt was requeued because the endpoint refused it without running it. */
   private int requeued;
 
   AgentAttempt(WireConnection connection, Message.Dispatch dispatch, long ticket, Ending ending) {
@@ -85,7 +86,7 @@
     return !dispatch.adapter().isEmpty();
   }
 
-  /** Returns the incarnation of the endpoint that was given the attempt. */
+  /** Returns the incarnation of the endpoint to which the attempt was sent. */
   String startedOn() {
     return startedOn;
   }
@@ -151,7 +152,8 @@
   }
 
   /**
-   * Credit that came between the count and the pause would be missed, and the answer would hang.
+   * Pauses the stream unless credit has arrived in the meantime. Without the second check, credit
+   * that arrives between the deduction and the pause would be missed and the response would hang.
    */
   private void pauseUntilCredit() {
     HttpStream open = stream;
--- a/runtime/src/main/java/org/hornbeamusher/agent/AgentDaemon.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AgentDaemon.java
@@ -46,22 +46,25 @@
 
   private static final int PROTOCOL = 1;
 
-  /** How often a due poll is looked for; a request waits this long at most for a timed decision. */
+  /** Interval of checks for a due poll, and the maximum delay of a time-based decision. */
   private static final long TICK_MILLIS = 10;
 
-  /** How often a changed load is reported; entries add their own outstanding work to it. */
+  /** Interval of reports of a changed load; entries add their own outstanding requests to it. */
   private static final long REPORT_MILLIS = 50;
 
-  /** How often an unchanged load is reported, for an entry that missed one. */
+  /** Interval of reports of an unchanged load, for entries that missed a report. */
   private static final long IDLE_REPORT_MILLIS = 1_000;
 
-  /** How often the batch is sampled: a few times in the shortest answers. */
+  /** Interval of batch samples; a few fall into the shortest response. */
   private static final long SAMPLE_MILLIS = 100;
 
-  /** How often the engine is asked for its state. */
+  /** Interval of requests for the engine's state. */
   private static final long OBSERVE_MILLIS = 500;
 
-  /** A load takes the store's whole queue in the worst case; past this its answer is lost. */
+  /**
+   * In the worst case a load waits for the whole queue of the weight store; after this time its
+   * response counts as lost.
+   */
   private static final long ORDER_TIMEOUT_MILLIS = 30_000;
 
   private static final long STOP_POLL_MILLIS = 20;
@@ -78,7 +81,7 @@
   private final PermitExchange permits;
   private final CountDownLatch leaveOrdered = new CountDownLatch(1);
 
-  /** Set once the endpoint's figures are known, from the settings or from a document. */
+  /** Set once the endpoint's capacity is known, from the settings or from a document. */
   private final AtomicReference<AgentShell> shell = new AtomicReference<>();
 
   private volatile boolean leaving;
@@ -90,7 +93,7 @@
    * Creates an agent that is not started.
    *
    * @param settings its settings
-   * @param sockets plain or TLS, towards entries
+   * @param sockets plain or TLS sockets for connections of entries
    * @param clock the clock
    */
   public AgentDaemon(AgentSettings settings, WireSockets sockets, Clock clock) {
@@ -117,7 +120,7 @@
   }
 
   /**
-   * Returns what this process has in common with others.
+   * Returns the services that all kinds of processes have.
    *
    * @return its services
    */
@@ -141,7 +144,7 @@
     return settings.capacity().kind() == EndpointKind.MODEL;
   }
 
-  /** Listens for entries. */
+  /** Starts to listen for entries and operators. */
   public void start() {
     services.start();
     services.processMetrics().gauge(ProcessMetric.IN_FLIGHT, this::outstanding);
@@ -173,7 +176,7 @@
         address());
   }
 
-  /** Creates the shell once the endpoint's figures are known. */
+  /** Creates the shell once the endpoint's capacity is known. */
   private synchronized void becomeReady() {
     if (shell.get() == null) {
       capacity().ifPresent(this::createShell);
@@ -216,7 +219,7 @@
 
   private record Capacity(int slots, int batch) {}
 
-  /** Settings go before the document; without either the endpoint's figures are not known. */
+  /** Returns the endpoint's capacity from the settings or else the document; empty without both. */
   private Optional<Capacity> capacity() {
     Optional<Capacity> declared =
         services.documents().all().stream()
@@ -237,7 +240,7 @@
     };
   }
 
-  /** Takes no new work; entries are told at once. What was taken in is finished. */
+  /** Starts to drain: notifies the entries, refuses new work and finishes accepted work. */
   public void drain() {
     leaving = true;
     ready().ifPresent(AgentShell::leave);
@@ -246,7 +249,7 @@
   }
 
   /**
-   * Waits until an operator makes the process leave.
+   * Waits until a drain is ordered.
    *
    * @throws InterruptedException when waiting is interrupted
    */
@@ -255,7 +258,7 @@
   }
 
   /**
-   * Drains, waits for the work in flight and ends.
+   * Drains, waits for the requests in flight and stops.
    *
    * @throws InterruptedException when waiting is interrupted
    */
@@ -275,18 +278,18 @@
   }
 
   /**
-   * Returns where operators reach this agent.
+   * Returns the address for operators.
    *
-   * @return its address
+   * @return the URI
    */
   public URI operatorUri() {
     return listener.uri();
   }
 
   /**
-   * Returns where entries reach this agent.
+   * Returns the address for entries.
    *
-   * @return its address
+   * @return the bound address
    */
   public InetSocketAddress address() {
     return server.boundAddress();
@@ -307,8 +310,9 @@
   }
 
   /**
-   * A timer drops a task that throws, and the agent would then neither decide nor report any more
-   * while its connections look alive. So what is thrown is logged and the next tick tries again.
+   * Runs the periodic work. Exceptions are logged and not propagated, because the timer cancels a
+   * task that throws, and the agent would then no longer decide or report while its connections
+   * stay open.
    */
   private void tick() {
     try {
@@ -336,7 +340,7 @@
     }
   }
 
-  /** Samples the batch at equal intervals, and only while there is work. */
+  /** Samples the batch at equal intervals while there are requests. */
   private void sample(EndpointLoad load, long now) {
     if (now - lastSampleMillis < SAMPLE_MILLIS) {
       return;
@@ -367,7 +371,7 @@
         resident);
   }
 
-  /** Returns where the weight store keeps an adapter, as its service's document says. */
+  /** Returns an adapter's location in the weight store according to its service's document. */
   private String weightsLocation(AdapterRef adapter) {
     return services
         .documents()
--- a/runtime/src/main/java/org/hornbeamusher/agent/AgentOperations.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AgentOperations.java
@@ -15,7 +15,7 @@
 import org.hornbeamusher.settings.AgentSettings;
 import org.hornbeamusher.status.ProcessStatus;
 
-/** What operators see and order at an agent; documents are submitted at entries. */
+/** Operator access to an agent: its status and draining. Documents are submitted at entries. */
 final class AgentOperations implements OperatorHost {
 
   private final AgentSettings settings;
@@ -74,7 +74,7 @@
         List.copyOf(known.resident()));
   }
 
-  /** An agent answers no callers; what is refused is counted at the entries. */
+  /** Returns the agent's counts; refusals to callers are counted at the entries. */
   private List<ProcessStatus.Service> serviceStatus() {
     return services.documents().all().stream()
         .filter(document -> document.pool().equals(settings.pool()))
--- a/runtime/src/main/java/org/hornbeamusher/agent/AgentShell.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AgentShell.java
@@ -36,11 +36,11 @@
 import org.hornbeamusher.wire.WireConnection;
 
 /**
- * Carries out what the {@link AgentScheduler} decides for one endpoint.
+ * Executes the actions that the {@link AgentScheduler} decides for one endpoint.
  *
- * <p>The scheduler is the serial point of the endpoint: every call to it happens under this
- * object's lock. What it decides is carried out after the lock is released, because a call to the
- * endpoint may answer on the same thread and come back here.
+ * <p>All calls to the scheduler are serialised by this object's lock. Its actions are executed
+ * after the lock is released, because a call to the endpoint may complete on the same thread and
+ * call back into this object.
  */
 final class AgentShell implements AgentAttempt.Ending {
 
@@ -48,7 +48,7 @@
   private static final int TOO_MANY_REQUESTS = 429;
   private static final int FIRST_SERVER_ERROR = 500;
 
-  /** An endpoint that refuses the same attempt this often is not going to run it. */
+  /** An endpoint that refuses the same attempt more often is not expected to run it. */
   private static final int MAX_REQUEUES = 3;
 
   private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -62,7 +62,8 @@
   private final AttemptRegister attempts = new AttemptRegister();
 
   /**
-   * As the scheduler said after its latest decision; asked again later it would say a later time.
+   * The time that the scheduler returned after its latest decision; a later query would return a
+   * later time.
    */
   private long nextPollMillis;
 
@@ -73,20 +74,20 @@
 
   private final PermitExchange.Turns turns;
 
-  /** Loads ordered and not ended. */
+  /** Number of loads that are ordered and have not ended. */
   private int loadsInFlight;
 
-  /** Loads that ended since the start; rises only. */
+  /** Number of loads that have ended since the start. */
   private long loadsEnded;
 
   /**
-   * What a shell is told of its endpoint.
+   * The parameters of the endpoint.
    *
    * @param endpoint the endpoint
    * @param uri its address
    * @param model whether it is a model engine
-   * @param fencing the number that orders carry
-   * @param superseded called when the engine obeys a later agent
+   * @param fencing source of the fencing number of orders
+   * @param superseded called when the engine has accepted orders of a later agent
    */
   record AgentSetup(
       EndpointId endpoint,
@@ -113,7 +114,7 @@
     this.clock = clock;
   }
 
-  /** Takes in an attempt of an entry. */
+  /** Accepts or refuses an attempt of an entry. */
   void dispatch(WireConnection connection, Message.Dispatch dispatch) {
     Optional<FailureType> refusal;
     synchronized (this) {
@@ -188,7 +189,7 @@
         d.queueLimit());
   }
 
-  /** Ends an attempt that its entry no longer wants. */
+  /** Cancels an attempt. */
   void cancel(WireConnection connection, long attemptNumber) {
     AgentAttempt attempt;
     boolean started;
@@ -207,7 +208,7 @@
     poll();
   }
 
-  /** Passes credit on. */
+  /** Adds flow-control credit to an attempt. */
   void credit(WireConnection connection, long attemptNumber, long bytes) {
     Optional<AgentAttempt> attempt;
     synchronized (this) {
@@ -217,8 +218,8 @@
   }
 
   /**
-   * Ends every attempt of a connection that is gone: its entry can no longer be told the answer,
-   * and it settles the attempts by itself.
+   * Cancels all attempts of a closed connection: their responses can no longer be delivered, and
+   * the entry handles the attempts as failed by itself.
    */
   void connectionClosed(WireConnection connection) {
     List<Long> orphans;
@@ -228,7 +229,7 @@
     orphans.forEach(attempt -> cancel(connection, attempt));
   }
 
-  /** Takes no new attempts from here on, and gives back what does not start soon. */
+  /** Refuses new attempts from now on and returns queued ones that do not start soon. */
   synchronized void leave() {
     leaving = true;
     scheduler.leave(clock.millis());
@@ -239,12 +240,12 @@
     return leaving;
   }
 
-  /** Tells how many attempts are queued or running. */
+  /** Returns the number of attempts that are queued or running. */
   synchronized int outstanding() {
     return attempts.size();
   }
 
-  /** Describes the endpoint; a batch of 0 says that it cannot be reached. */
+  /** Returns the endpoint's load; a batch of 0 means that it is unreachable. */
   synchronized EndpointLoad load() {
     EndpointLoad load = scheduler.load(clock.millis());
     if (!endpointDown) {
@@ -253,12 +254,12 @@
     return new EndpointLoad(0, load.queued(), 0, load.slots(), 0, 0, load.resident());
   }
 
-  /** Tells when {@link #poll} is due though nothing happened. */
+  /** Returns when {@link #poll} is due without any event. */
   synchronized long nextPollMillis() {
     return nextPollMillis;
   }
 
-  /** Lets the scheduler decide and carries out what it decided. */
+  /** Executes the actions that the scheduler decides now. */
   void poll() {
     List<Runnable> steps = new ArrayList<>();
     synchronized (this) {
@@ -279,7 +280,7 @@
     };
   }
 
-  /** Takes a turn at the weight store; one that finds no use is given back at once. */
+  /** Handles a granted permit for the weight store; an unused one is returned at once. */
   void permitGranted() {
     synchronized (this) {
       scheduler.permitGranted(clock.millis());
@@ -342,7 +343,10 @@
     finish(attempt);
   }
 
-  /** A start is carried out after it was decided, and the process may have been held up since. */
+  /**
+   * Tells whether a start has become too late since it was decided, for example because the process
+   * was paused.
+   */
   private synchronized boolean startsTooLate() {
     return !scheduler.mayStart(clock.millis());
   }
@@ -376,10 +380,10 @@
   }
 
   /**
-   * An engine that restarted may take an order before its agent notices. Were the load taken in
-   * first, a request started on it and the restart taken in after that, the request would lose its
-   * pin while it runs, and its adapter could be evicted from under it. So the engine is asked for
-   * its incarnation before a load counts. An engine that does not answer does not fail the load.
+   * Checks the engine's incarnation before a load counts as done. A restarted engine may accept an
+   * order before its agent notices the restart. If the load were recorded first and the restart
+   * after a request had started on the adapter, the request would lose its pin while it runs and
+   * its adapter could be evicted. An engine that does not answer this check does not fail the load.
    */
   private CompletableFuture<Void> noticeRestart() {
     return observeEngine().handle((state, thrown) -> null);
@@ -414,9 +418,9 @@
   }
 
   /**
-   * A refused number means that a later agent has taken over, as after a long pause of this one.
-   * Two agents that order one engine would evict from under each other's requests, so this one
-   * leaves.
+   * Starts draining when a refused fencing number shows that a later agent has taken over, for
+   * example after a long pause of this one. Two agents that send orders to one engine would evict
+   * adapters that the other one's requests use.
    */
   private void leaveIfSuperseded(HornbeamusherException failure) {
     if (failure.type() == FailureType.STALE_FENCING_NUMBER) {
@@ -431,10 +435,11 @@
   }
 
   /**
-   * The endpoint refused the attempt, which proves that it did not run. An adapter that is not
-   * resident after all means that the engine restarted or dropped it behind this agent's back; a
-   * full batch means that a run ended later at the engine than here. Both are put right by queueing
-   * the attempt again, so that the caller does not notice.
+   * {@inheritDoc}
+   *
+   * <p>The refusal proves that the attempt did not run. Not found means that the engine restarted
+   * or evicted the adapter without an order of this agent; too many requests means that a run ended
+   * later at the engine than here. In both cases the attempt is requeued, invisibly to the caller.
    */
   @Override
   public void rejected(AgentAttempt attempt, int status, String body) {
@@ -479,7 +484,7 @@
             });
   }
 
-  /** Asks the engine for its state and takes it in. A plain service has none. */
+  /** Requests the engine's state and applies it. A plain service has no state. */
   CompletableFuture<EngineState> observeEngine() {
     if (!setup.model()) {
       return CompletableFuture.failedFuture(
@@ -517,8 +522,8 @@
         scheduler.endpointRestarted(clock.millis());
       }
     }
-    // A load that ended after the question was asked may be missing from the answer. Taking such an
-    // answer in would forget a resident adapter and load it twice; the next question settles it.
+    // A load that ended after the request was sent may be missing from the state. Applying such a
+    // state would lose a resident adapter and load it twice; the next state will contain it.
     if (asked == loadsEnded && loadsInFlight == 0) {
       scheduler.residencyObserved(state.resident(), clock.millis());
     }
@@ -535,7 +540,7 @@
     poll();
   }
 
-  /** Tells an entry that an attempt was not started and will not be. */
+  /** Returns the message that an attempt was not started and will not be. */
   static Message refusal(Message.Dispatch dispatch, FailureType type, Object detail) {
     return refusal(dispatch, type, detail, RETRY_AFTER_MILLIS);
   }
--- a/runtime/src/main/java/org/hornbeamusher/agent/AttemptRegister.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AttemptRegister.java
@@ -8,15 +8,15 @@
 import org.hornbeamusher.wire.WireConnection;
 
 /**
- * The attempts that are queued or running at this agent, by their ticket and by what their entry
- * calls them. Every method is called under the shell's lock.
+ * The attempts that are queued or running at this agent, by ticket and by the entry's attempt
+ * number. Every method is called under the lock of {@link AgentShell}.
  */
 final class AttemptRegister {
 
   private final Map<Long, AgentAttempt> byTicket = new HashMap<>();
   private final Map<Key, AgentAttempt> byKey = new HashMap<>();
 
-  /** Never given twice, so that a late word of an ended attempt finds nothing. */
+  /** Tickets are never reused, so that a late event of an ended attempt has no effect. */
   private long nextTicket;
 
   /** Identifies an attempt among those of all entries. */
--- a/runtime/src/main/java/org/hornbeamusher/agent/EngineFencing.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/EngineFencing.java
@@ -8,11 +8,11 @@
 import org.hornbeamusher.lease.FencingLease;
 
 /**
- * The number that this agent's orders carry.
+ * Maintains the fencing number of this agent's orders.
  *
- * <p>It is asked for once the engine has said which number it has seen. While the table does not
- * answer, one above that is used, so that loads go on, and the table is asked again with every look
- * at the engine.
+ * <p>The number is acquired once the engine has reported the highest number it has seen. While the
+ * table is unavailable, one above that is used, so that loads continue, and acquisition is retried
+ * with every state report of the engine.
  */
 final class EngineFencing {
 
@@ -30,7 +30,7 @@
     return number;
   }
 
-  /** Takes in the highest number that the engine has seen. */
+  /** Acquires a number, if none is acquired yet, above the highest that the engine has seen. */
   void observed(long seenByEngine) {
     synchronized (this) {
       if (leased || asking) {
--- a/runtime/src/main/java/org/hornbeamusher/agent/PermitExchange.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/PermitExchange.java
@@ -30,28 +30,29 @@
 import org.hornbeamusher.wire.WireSockets;
 
 /**
- * Carries an agent's asks to whoever holds the permits of its weight store, and hands out turns
- * when this agent is the holder. What is decided is in {@link org.hornbeamusher.pacing}.
+ * Sends an agent's requests for load permits to the agent that grants the permits of its weight
+ * store (the holder), and grants permits when this agent is the holder. The decisions are made in
+ * {@link org.hornbeamusher.pacing}.
  *
- * <p>An agent keeps one connection, to the holder. Agents are named by their instance here, since
- * that is what the platform's list of instances names.
+ * <p>An agent keeps one connection, to the holder. Agents are identified by their instance here, as
+ * in the platform's list of instances.
  */
 final class PermitExchange {
 
-  /** How the rest of the agent sees its turns. */
+  /** Permits of this agent for loads from its weight store. */
   interface Turns {
 
-    /** Asks for a turn; demand 0 withdraws. */
+    /** Requests a permit; demand 0 withdraws the request. */
     void ask(PartnerId partner, double demand);
 
-    /** Ends the turn that was given last. */
+    /** Returns the permit that was granted last. */
     void done();
   }
 
-  /** With 1,400 agents the platform answers 140 reads a second for this. */
+  /** Interval of reads of the instance list; with 1,400 agents the platform serves 140 reads/s. */
   private static final long LIST_MILLIS = 10_000;
 
-  /** While no other agent is known, as after the start of everything at once. */
+  /** Interval while no other agent is known, as after a simultaneous start of all processes. */
   private static final long ALONE_LIST_MILLIS = 1_000;
 
   private final EndpointId self;
@@ -66,7 +67,7 @@
   private final PermitSourceChoice choice;
   private final LocalPacer pacer;
 
-  /** Kept for every store that others ask this agent for; empty unless it is taken for a holder. */
+  /** One ledger per weight store for which agents consider this agent the holder. */
   private final Map<String, PermitLedger> ledgers = new HashMap<>();
 
   private final Map<EndpointId, WireConnection> askers = new HashMap<>();
@@ -76,7 +77,7 @@
   private Optional<Link> link = Optional.empty();
   private Optional<Message.PermitAsk> pending = Optional.empty();
 
-  /** Ends the turn in use; empty without one. */
+  /** Returns the permit in use; empty without one. */
   private Optional<Runnable> turn = Optional.empty();
 
   /** The connection to the holder. */
@@ -85,14 +86,14 @@
   private WireConnection holderConnection;
 
   /**
-   * What an exchange is told when it is created.
+   * The parameters of an exchange.
    *
    * @param self this agent's instance
    * @param store the weight store it loads from
-   * @param figures the store's figures
-   * @param hello what this process says of itself
+   * @param figures the permit settings of the store
+   * @param hello the hello message of this process
    * @param wire intervals and bounds of the connection
-   * @param sockets plain or TLS
+   * @param sockets plain or TLS sockets
    */
   record Setup(
       EndpointId self,
@@ -120,7 +121,7 @@
     this.pacer = new LocalPacer(figures.gapMillis(), self.value().hashCode());
   }
 
-  /** Returns the agent's side. */
+  /** Returns the interface through which the agent requests permits. */
   Turns turns() {
     return new Turns() {
       @Override
@@ -135,7 +136,7 @@
     };
   }
 
-  /** Looks after the source of turns and hands out those that are due. */
+  /** Updates the source of permits and grants those that are due. */
   void tick() {
     long now = clock.millis();
     List<Runnable> steps = new ArrayList<>();
@@ -154,7 +155,7 @@
     link = Optional.empty();
   }
 
-  /** Hears what another agent says to the holder; tells whether it was about permits. */
+  /** Handles a message of another agent to the holder; returns whether it concerned permits. */
   synchronized boolean received(WireConnection connection, Message message) {
     switch (message) {
       case Message.PermitAsk ask -> {
@@ -176,7 +177,7 @@
     return true;
   }
 
-  /** Forgets the agent at the other end. */
+  /** Removes the requests and permits of the agent at the other end. */
   synchronized void closed(WireConnection connection) {
     askers
         .entrySet()
@@ -209,7 +210,7 @@
     turn = Optional.empty();
   }
 
-  /** The list lags and may fail for long; the last one that came goes on being used. */
+  /** Requests the instance list when due. The last list stays in use while requests fail. */
   private void refreshList(long now) {
     if (now < nextListMillis) {
       return;
@@ -297,7 +298,7 @@
     return ledgers.computeIfAbsent(name, key -> new PermitLedger(figures));
   }
 
-  /** Hears the holder. */
+  /** Handles the connection to the holder. */
   private final class HolderListener implements WireListener {
 
     @Override
--- a/runtime/src/main/java/org/hornbeamusher/agent/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The agent: the one process beside an endpoint, which decides what the endpoint holds and runs.
+ * The agent: the single process beside an endpoint that schedules its requests and adapter loads.
  */
 package org.hornbeamusher.agent;
--- a/runtime/src/test/java/org/hornbeamusher/agent/AgentBackoffTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/agent/AgentBackoffTest.java
@@ -11,7 +11,7 @@
 import org.hornbeamusher.wire.Message;
 import org.junit.jupiter.api.Test;
 
-/** What reaches an endpoint that wants no requests for a while. */
+/** Requests to an endpoint that has stated a Retry-After period. */
 class AgentBackoffTest {
 
   private static final long BACKOFF_MILLIS = 3_000;
@@ -21,7 +21,7 @@
     exchange.getResponseHeaders().put(Headers.RETRY_AFTER, "3");
   }
 
-  /** An agent sent the next request to an endpoint that had asked it for a pause. */
+  /** Guards against sending a request to an endpoint before its Retry-After period ends. */
   @Test
   void requestIsGivenBackBeforeTheRetryAfterOfTheEndpointEnds() throws InterruptedException {
     try (ShellFixture agent = new ShellFixture(AgentBackoffTest::refuse)) {
@@ -41,7 +41,7 @@
     }
   }
 
-  /** A request that had been decided to start reached an endpoint that had asked for a pause. */
+  /** Guards against executing a start that was decided before the endpoint stated Retry-After. */
   @Test
   void startThatIsHeldUpIsGivenBack() throws InterruptedException {
     try (ShellFixture agent = new ShellFixture(AgentBackoffTest::refuse)) {
--- a/runtime/src/test/java/org/hornbeamusher/agent/AgentLeavingTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/agent/AgentLeavingTest.java
@@ -8,12 +8,12 @@
 import org.hornbeamusher.failure.FailureType;
 import org.junit.jupiter.api.Test;
 
-/** What reaches an endpoint whose agent leaves. */
+/** Requests to an endpoint whose agent is draining. */
 class AgentLeavingTest {
 
   private static final long DRAINED_MILLIS = 2_000;
 
-  /** A start that was decided in time and held up reached the endpoint after it was drained. */
+  /** Guards against a start that was decided in time and executed after the drain had ended. */
   @Test
   void startThatIsHeldUpIsGivenBack() throws InterruptedException {
     try (ShellFixture agent = new ShellFixture(exchange -> {})) {
--- a/runtime/src/test/java/org/hornbeamusher/agent/PermitExchangeTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/agent/PermitExchangeTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Three agents on loopback that want loads all the time. */
+/** Permits among three agents on loopback that request loads continuously. */
 class PermitExchangeTest {
 
   private static final PermitSettings FAST = new PermitSettings(5, 1, 60_000, 60_000, Map.of());
@@ -73,7 +73,7 @@
       mostAtOnce.accumulateAndGet(loading.incrementAndGet(), Math::max);
     }
 
-    /** Ends a load that is under way, or asks for the next one. */
+    /** Ends a load that is in progress and requests the next permit. */
     synchronized void step() {
       exchange.tick();
       if (!asking) {
@@ -134,16 +134,17 @@
   private void runUntilEachHas(int turns, List<Agent> which) throws InterruptedException {
     long end = System.nanoTime() + PATIENCE_MILLIS * 1_000_000;
     while (which.stream().anyMatch(agent -> agent.turns < turns)) {
-      assertTrue(System.nanoTime() < end, "turns " + which.stream().map(a -> a.turns).toList());
+      assertTrue(System.nanoTime() < end, "permits " + which.stream().map(a -> a.turns).toList());
       which.forEach(Agent::step);
       Thread.sleep(2);
     }
   }
 
   /**
-   * All agents load at once, and each load takes three times as long, unless the holder gives them
-   * turns over its connections. Then the holder is killed: the others would wait for turns for ever
-   * and their callers be refused, but go on by themselves.
+   * Guards against concurrent loads of all agents, each of which would take three times as long:
+   * the holder must grant one permit at a time. It also guards against agents that wait forever
+   * after the holder was killed, while their callers are refused: they must continue with local
+   * pacing.
    */
   @Test
   void loadsOverlapOnlyOnceTheHolderIsGone() throws InterruptedException {
--- a/runtime/src/test/java/org/hornbeamusher/agent/ShellFixture.java
+++ b/runtime/src/test/java/org/hornbeamusher/agent/ShellFixture.java
@@ -20,7 +20,7 @@
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireConnection;
 
-/** An agent's serial part beside a plain endpoint on loopback, and the entry that it serves. */
+/** An {@link AgentShell} with a plain endpoint on loopback and an entry connection. */
 final class ShellFixture implements AutoCloseable {
 
   private static final EndpointId ID = new EndpointId("e");
@@ -39,7 +39,7 @@
       Undertow.builder().addHttpListener(0, "127.0.0.1").setHandler(this::handle).build();
   private Runnable atStart = () -> {};
 
-  /** Starts everything; the endpoint answers each request alike. */
+  /** Starts the fixture; the endpoint answers all requests with the given handler. */
   ShellFixture(HttpHandler answer) {
     this.answer = answer;
     endpoint.start();
@@ -68,7 +68,7 @@
     answer.handleRequest(exchange);
   }
 
-  /** Runs something once, when the entry is notified that its next request starts. */
+  /** Runs an action once, when the entry is notified that its next request starts. */
   void atNextStart(Runnable action) {
     atStart =
         () -> {
@@ -77,7 +77,7 @@
         };
   }
 
-  /** Hands the agent a request of the entry. */
+  /** Dispatches a request from the entry to the agent. */
   void dispatch(long attempt, String path) {
     shell.dispatch(
         entry,
@@ -109,7 +109,7 @@
     return List.copyOf(paths);
   }
 
-  /** Returns what the entry was told of requests that failed. */
+  /** Returns the failures of requests that the entry has received. */
   List<Message.Failed> failures() {
     return sent.stream()
         .filter(Message.Failed.class::isInstance)
@@ -117,7 +117,7 @@
         .toList();
   }
 
-  /** Counts the requests that are over at the entry. */
+  /** Returns the number of requests that have ended at the entry. */
   long ended() {
     return sent.stream()
         .filter(one -> one instanceof Message.Failed || one instanceof Message.Closing)
