--- a/runtime/src/main/java/org/hornbeamusher/agent/AgentAttempt.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AgentAttempt.java
@@ -22,16 +22,16 @@
 final class AgentAttempt implements HttpStreamListener {
 
   /** Receives the events of an attempt's response. */
-  interface Ending {
+  interface Listener {
 
     /** Returns whether the endpoint may be sent a request now. */
-    boolean takesRequests();
+    boolean acceptsRequests();
 
     /** Called when a response of the endpoint states a Retry-After period. */
-    void backedOff(StatedRetryAfter stated);
+    void retryAfterStated(StatedRetryAfter stated);
 
     /** Called when the endpoint's response is complete. */
-    void answered(AgentAttempt attempt);
+    void completed(AgentAttempt attempt);
 
     /** Called when the endpoint answered with an error status and did not run the attempt. */
     void rejected(AgentAttempt attempt, int status, String body);
@@ -46,7 +46,7 @@
   private final WireConnection connection;
   private final Message.Dispatch dispatch;
   private final long ticket;
-  private final Ending ending;
+  private final Listener listener;
   private final AtomicLong credit;
   private final CRC32C checksum = new CRC32C();
   private final ByteArrayOutputStream error = new ByteArrayOutputStream();
@@ -62,11 +62,12 @@
   /** How often the attempt was requeued because the endpoint refused it without running it. */
   private int requeued;
 
-  AgentAttempt(WireConnection connection, Message.Dispatch dispatch, long ticket, Ending ending) {
+  AgentAttempt(
+      WireConnection connection, Message.Dispatch dispatch, long ticket, Listener listener) {
     this.connection = connection;
     this.dispatch = dispatch;
     this.ticket = ticket;
-    this.ending = ending;
+    this.listener = listener;
     this.credit = new AtomicLong(dispatch.credit());
   }
 
@@ -122,14 +123,14 @@
 
   @Override
   public boolean sending() {
-    return ending.takesRequests();
+    return listener.acceptsRequests();
   }
 
   @Override
   public void head(HttpHead head) {
     int status = head.status();
     List<String> times = head.first(StatedRetryAfter.FIELD).map(List::of).orElse(List.of());
-    ending.backedOff(StatedRetryAfter.of(status, times));
+    listener.retryAfterStated(StatedRetryAfter.of(status, times));
     if (isModel() && status != OK) {
       errorStatus = status;
       return;
@@ -169,15 +170,15 @@
   @Override
   public void end() {
     if (errorStatus != 0) {
-      ending.rejected(this, errorStatus, error.toString(java.nio.charset.StandardCharsets.UTF_8));
+      listener.rejected(this, errorStatus, error.toString(java.nio.charset.StandardCharsets.UTF_8));
       return;
     }
     connection.send(new Message.Closing(dispatch.attempt(), chunks, checksum.getValue()));
-    ending.answered(this);
+    listener.completed(this);
   }
 
   @Override
   public void failed(Throwable failure) {
-    ending.failed(this, HornbeamusherException.from(failure));
+    listener.failed(this, HornbeamusherException.from(failure));
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/agent/AgentDaemon.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AgentDaemon.java
@@ -75,16 +75,16 @@
   private final ScheduledExecutorService timer =
       Executors.newSingleThreadScheduledExecutor(
           Thread.ofPlatform().daemon().name("agent-timer").factory());
-  private final Message.Hello own;
+  private final Message.Hello hello;
   private final WireServer server;
   private final HttpListener listener;
   private final PermitExchange permits;
-  private final CountDownLatch leaveOrdered = new CountDownLatch(1);
+  private final CountDownLatch drainOrdered = new CountDownLatch(1);
 
   /** Set once the endpoint's capacity is known, from the settings or from a document. */
-  private final AtomicReference<AgentShell> shell = new AtomicReference<>();
+  private final AtomicReference<EndpointExecutor> executor = new AtomicReference<>();
 
-  private volatile boolean leaving;
+  private volatile boolean draining;
   private EndpointLoad lastReport;
   private long lastReportMillis;
   private long lastSampleMillis;
@@ -102,20 +102,20 @@
     this.services = new ProcessServices(settings.platform(), () -> 0, clock);
     this.listener =
         new HttpListener(settings.http(), Undertow.builder().setIoThreads(1).setWorkerThreads(1));
-    this.own = hello(settings);
+    this.hello = hello(settings);
     this.server =
-        new WireServer(settings.listen().address(), own, this, settings.wire(), sockets, clock);
+        new WireServer(settings.listen().address(), hello, this, settings.wire(), sockets, clock);
     this.permits =
         new PermitExchange(
             new PermitExchange.Setup(
                 new EndpointId(settings.instance().value()),
                 settings.capacity().weightStore(),
                 PermitSettings.of(settings.capacity().partnerShares()),
-                own,
+                hello,
                 settings.wire(),
                 sockets),
             services::instances,
-            () -> ready().ifPresent(AgentShell::permitGranted),
+            () -> readyExecutor().ifPresent(EndpointExecutor::permitGranted),
             clock);
   }
 
@@ -153,15 +153,15 @@
     becomeReady();
     timer.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     timer.scheduleWithFixedDelay(
-        this::observe, OBSERVE_MILLIS, OBSERVE_MILLIS, TimeUnit.MILLISECONDS);
+        this::requestEngineState, OBSERVE_MILLIS, OBSERVE_MILLIS, TimeUnit.MILLISECONDS);
     server.start();
     listener.start(
         new OperatorApi(
                 new AgentOperations(
                     settings,
                     services,
-                    () -> ready().map(AgentShell::load),
-                    () -> leaving,
+                    () -> readyExecutor().map(EndpointExecutor::load),
+                    () -> draining,
                     this::drain),
                 settings.tokens(),
                 new MetricsReport(services.metrics()))
@@ -176,31 +176,31 @@
         address());
   }
 
-  /** Creates the shell once the endpoint's capacity is known. */
+  /** Creates the executor once the endpoint's capacity is known. */
   private synchronized void becomeReady() {
-    if (shell.get() == null) {
-      capacity().ifPresent(this::createShell);
+    if (executor.get() == null) {
+      capacity().ifPresent(this::createExecutor);
     }
   }
 
-  private void createShell(Capacity capacity) {
-    CapacitySettings figures = settings.capacity();
+  private void createExecutor(Capacity capacity) {
+    CapacitySettings capacitySettings = settings.capacity();
     SchedulerSettings scheduling =
         new SchedulerSettings(
             capacity.slots(),
             capacity.batch(),
-            figures.queueLimit(),
-            figures.minimumStayMillis(),
-            figures.tokensPerSecond(),
-            figures.loadMillis(),
+            capacitySettings.queueLimit(),
+            capacitySettings.minimumStayMillis(),
+            capacitySettings.tokensPerSecond(),
+            capacitySettings.loadMillis(),
             true,
-            figures.partnerShares());
+            capacitySettings.partnerShares());
     FencingLease lease =
         new FencingLease(
-            services.table(), settings.endpoint(), Long.toHexString(own.incarnation()));
-    AgentShell created =
-        new AgentShell(
-            new AgentShell.AgentSetup(
+            services.table(), settings.endpoint(), Long.toHexString(hello.incarnation()));
+    EndpointExecutor created =
+        new EndpointExecutor(
+            new EndpointExecutor.EndpointParameters(
                 settings.endpoint(),
                 settings.endpointUri(),
                 isModel(),
@@ -211,10 +211,10 @@
                 settings.endpoint(), settings.endpointUri(), services.http(), ORDER_TIMEOUT_MILLIS),
             services.http(),
             this::weightsLocation,
-            permits.turns(),
+            permits.permits(),
             clock);
-    created.observeEngine();
-    shell.set(created);
+    created.requestEngineState();
+    executor.set(created);
   }
 
   private record Capacity(int slots, int batch) {}
@@ -226,10 +226,10 @@
             .filter(document -> document.pool().equals(settings.pool()))
             .findFirst()
             .map(document -> capacity(document.kind()));
-    CapacitySettings own = settings.capacity();
+    CapacitySettings configured = settings.capacity();
     Optional<Integer> slots =
-        isModel() ? own.slots().or(() -> declared.map(Capacity::slots)) : Optional.of(0);
-    Optional<Integer> batch = own.batch().or(() -> declared.map(Capacity::batch));
+        isModel() ? configured.slots().or(() -> declared.map(Capacity::slots)) : Optional.of(0);
+    Optional<Integer> batch = configured.batch().or(() -> declared.map(Capacity::batch));
     return slots.flatMap(s -> batch.map(b -> new Capacity(s, b)));
   }
 
@@ -242,10 +242,10 @@
 
   /** Starts to drain: notifies the entries, refuses new work and finishes accepted work. */
   public void drain() {
-    leaving = true;
-    ready().ifPresent(AgentShell::leave);
+    draining = true;
+    readyExecutor().ifPresent(EndpointExecutor::drain);
     server.broadcast(new Message.Leaving());
-    leaveOrdered.countDown();
+    drainOrdered.countDown();
   }
 
   /**
@@ -254,7 +254,7 @@
    * @throws InterruptedException when waiting is interrupted
    */
   public void awaitLeaving() throws InterruptedException {
-    leaveOrdered.await();
+    drainOrdered.await();
   }
 
   /**
@@ -295,17 +295,17 @@
     return server.boundAddress();
   }
 
-  private Optional<AgentShell> ready() {
-    return Optional.ofNullable(shell.get());
+  private Optional<EndpointExecutor> readyExecutor() {
+    return Optional.ofNullable(executor.get());
   }
 
   private int outstanding() {
-    return ready().map(AgentShell::outstanding).orElse(0);
+    return readyExecutor().map(EndpointExecutor::outstanding).orElse(0);
   }
 
-  private void observe() {
+  private void requestEngineState() {
     if (isModel()) {
-      ready().ifPresent(AgentShell::observeEngine);
+      readyExecutor().ifPresent(EndpointExecutor::requestEngineState);
     }
   }
 
@@ -317,13 +317,13 @@
   private void tick() {
     try {
       permits.tick();
-      ready().ifPresent(this::tick);
+      readyExecutor().ifPresent(this::tick);
     } catch (RuntimeException e) {
       EventLog.log(EventType.TASK_FAILED, "task", "agent tick", "failure", e);
     }
   }
 
-  private void tick(AgentShell ready) {
+  private void tick(EndpointExecutor ready) {
     if (clock.millis() >= ready.nextPollMillis()) {
       ready.poll();
     }
@@ -387,8 +387,8 @@
   public void opened(WireConnection connection, Message.Hello peer) {
     EventLog.log(EventType.PEER_CONNECTED, "peer", peer.instance());
     services.exchange().opened(connection);
-    ready().ifPresent(ready -> connection.send(message(ready.load())));
-    if (leaving) {
+    readyExecutor().ifPresent(ready -> connection.send(message(ready.load())));
+    if (draining) {
       connection.send(new Message.Leaving());
     }
   }
@@ -398,12 +398,13 @@
     switch (message) {
       case Message.Dispatch dispatch -> dispatch(connection, dispatch);
       case Message.Cancel cancel ->
-          ready().ifPresent(ready -> ready.cancel(connection, cancel.attempt()));
+          readyExecutor().ifPresent(ready -> ready.cancel(connection, cancel.attempt()));
       case Message.Credit credit ->
-          ready().ifPresent(ready -> ready.credit(connection, credit.attempt(), credit.bytes()));
+          readyExecutor()
+              .ifPresent(ready -> ready.credit(connection, credit.attempt(), credit.bytes()));
       case Message.CrashNotice notice -> server.broadcast(notice);
       default -> {
-        if (!permits.received(connection, message)) {
+        if (!permits.messageReceived(connection, message)) {
           services.exchange().received(connection, message);
         }
       }
@@ -411,9 +412,9 @@
   }
 
   private void dispatch(WireConnection connection, Message.Dispatch dispatch) {
-    AgentShell ready = shell.get();
+    EndpointExecutor ready = executor.get();
     if (ready == null) {
-      connection.send(AgentShell.refusal(dispatch, FailureType.NO_ENDPOINT, settings.pool()));
+      connection.send(EndpointExecutor.refusal(dispatch, FailureType.NO_ENDPOINT, settings.pool()));
       return;
     }
     ready.dispatch(connection, dispatch);
@@ -432,7 +433,7 @@
   @Override
   public void closed(WireConnection connection, HornbeamusherException reason) {
     services.exchange().closed(connection);
-    permits.closed(connection);
-    ready().ifPresent(ready -> ready.connectionClosed(connection));
+    permits.connectionClosed(connection);
+    readyExecutor().ifPresent(ready -> ready.connectionClosed(connection));
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/agent/AgentOperations.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AgentOperations.java
@@ -21,19 +21,19 @@
   private final AgentSettings settings;
   private final ProcessServices services;
   private final Supplier<Optional<EndpointLoad>> load;
-  private final BooleanSupplier leaving;
+  private final BooleanSupplier draining;
   private final Runnable drain;
 
   AgentOperations(
       AgentSettings settings,
       ProcessServices services,
       Supplier<Optional<EndpointLoad>> load,
-      BooleanSupplier leaving,
+      BooleanSupplier draining,
       Runnable drain) {
     this.settings = settings;
     this.services = services;
     this.load = load;
-    this.leaving = leaving;
+    this.draining = draining;
     this.drain = drain;
   }
 
@@ -54,7 +54,7 @@
         settings.instance(),
         "agent",
         settings.zone(),
-        leaving.getAsBoolean(),
+        draining.getAsBoolean(),
         now.map(known -> known.running() + known.queued()).orElse(0),
         now.map(known -> List.of(endpoint(known))).orElse(List.of()),
         serviceStatus(),
@@ -66,7 +66,7 @@
         settings.endpoint(),
         settings.zone(),
         settings.pool(),
-        !leaving.getAsBoolean(),
+        !draining.getAsBoolean(),
         known.running(),
         known.batch(),
         known.queued(),
--- a/runtime/src/main/java/org/hornbeamusher/agent/AttemptRegister.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AttemptRegister.java
@@ -9,7 +9,7 @@
 
 /**
  * The attempts that are queued or running at this agent, by ticket and by the entry's attempt
- * number. Every method is called under the lock of {@link AgentShell}.
+ * number. Every method is called under the lock of {@link EndpointExecutor}.
  */
 final class AttemptRegister {
 
@@ -23,8 +23,8 @@
   private record Key(WireConnection connection, long attempt) {}
 
   AgentAttempt add(
-      WireConnection connection, Message.Dispatch dispatch, AgentAttempt.Ending ending) {
-    AgentAttempt attempt = new AgentAttempt(connection, dispatch, nextTicket++, ending);
+      WireConnection connection, Message.Dispatch dispatch, AgentAttempt.Listener listener) {
+    AgentAttempt attempt = new AgentAttempt(connection, dispatch, nextTicket++, listener);
     byTicket.put(attempt.ticket(), attempt);
     byKey.put(new Key(connection, dispatch.attempt()), attempt);
     return attempt;
@@ -45,7 +45,7 @@
         .toList();
   }
 
-  boolean holds(AgentAttempt attempt) {
+  boolean contains(AgentAttempt attempt) {
     return byTicket.get(attempt.ticket()) == attempt;
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/agent/AgentShell.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/EndpointExecutor.java
@@ -42,7 +42,7 @@
  * after the lock is released, because a call to the endpoint may complete on the same thread and
  * call back into this object.
  */
-final class AgentShell implements AgentAttempt.Ending {
+final class EndpointExecutor implements AgentAttempt.Listener {
 
   private static final int NOT_FOUND = 404;
   private static final int TOO_MANY_REQUESTS = 429;
@@ -53,7 +53,7 @@
 
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
-  private final AgentSetup setup;
+  private final EndpointParameters parameters;
   private final AgentScheduler scheduler;
   private final EngineOrders orders;
   private final HttpClient http;
@@ -68,11 +68,11 @@
   private long nextPollMillis;
 
   private final EndpointAvailability availability = new EndpointAvailability();
-  private boolean leaving;
+  private boolean draining;
   private boolean endpointDown;
   private String engineIncarnation = "";
 
-  private final PermitExchange.Turns turns;
+  private final PermitExchange.LoadPermits permits;
 
   /** Number of loads that are ordered and have not ended. */
   private int loadsInFlight;
@@ -89,26 +89,26 @@
    * @param fencing source of the fencing number of orders
    * @param superseded called when the engine has accepted orders of a later agent
    */
-  record AgentSetup(
+  record EndpointParameters(
       EndpointId endpoint,
       java.net.URI uri,
       boolean model,
       EngineFencing fencing,
       Runnable superseded) {}
 
-  AgentShell(
-      AgentSetup setup,
+  EndpointExecutor(
+      EndpointParameters parameters,
       AgentScheduler scheduler,
       EngineOrders orders,
       HttpClient http,
       Function<AdapterRef, String> weightsLocation,
-      PermitExchange.Turns turns,
+      PermitExchange.LoadPermits permits,
       Clock clock) {
-    this.turns = turns;
-    this.setup = setup;
+    this.permits = permits;
+    this.parameters = parameters;
     this.scheduler = scheduler;
     this.orders = orders;
-    orders.onRetryAfter(this::backedOff);
+    orders.onRetryAfter(this::retryAfterStated);
     this.http = http;
     this.weightsLocation = weightsLocation;
     this.clock = clock;
@@ -124,20 +124,20 @@
       }
     }
     if (refusal.isPresent()) {
-      connection.send(refusal(dispatch, refusal.get(), setup.endpoint(), retryAfterMillis()));
+      connection.send(refusal(dispatch, refusal.get(), parameters.endpoint(), retryAfterMillis()));
       return;
     }
     poll();
   }
 
   private Optional<FailureType> refusalOf(Message.Dispatch dispatch) {
-    if (leaving) {
+    if (draining) {
       return Optional.of(FailureType.ENDPOINT_LEAVING);
     }
     if (endpointDown) {
       return Optional.of(FailureType.ENDPOINT_FAILED);
     }
-    if (!takesRequests()) {
+    if (!acceptsRequests()) {
       return Optional.of(FailureType.ENDPOINT_BACKOFF);
     }
     if (dispatch.expiresMillis() <= clock.millis()) {
@@ -147,7 +147,7 @@
   }
 
   @Override
-  public synchronized boolean takesRequests() {
+  public synchronized boolean acceptsRequests() {
     return availability.decide(clock.millis()) instanceof SendDecision.Now;
   }
 
@@ -155,24 +155,24 @@
     return Math.max(RETRY_AFTER_MILLIS, availability.backoffMillis(clock.millis()));
   }
 
-  private HornbeamusherException backoff() {
-    return HornbeamusherException.notRun(FailureType.ENDPOINT_BACKOFF, setup.endpoint());
+  private HornbeamusherException backoffFailure() {
+    return HornbeamusherException.notRun(FailureType.ENDPOINT_BACKOFF, parameters.endpoint());
   }
 
   @Override
-  public synchronized void backedOff(StatedRetryAfter stated) {
+  public synchronized void retryAfterStated(StatedRetryAfter stated) {
     if (availability.answered(stated, clock.millis())) {
       AvailabilityLog.backoff(
-          setup.endpoint(), engineIncarnation, availability.backoffMillis(clock.millis()));
+          parameters.endpoint(), engineIncarnation, availability.backoffMillis(clock.millis()));
     }
   }
 
   private void queue(WireConnection connection, Message.Dispatch dispatch) {
     AgentAttempt attempt = attempts.add(connection, dispatch, this);
-    scheduler.submit(queued(attempt), clock.millis());
+    scheduler.submit(toQueuedRequest(attempt), clock.millis());
   }
 
-  private QueuedRequest queued(AgentAttempt attempt) {
+  private QueuedRequest toQueuedRequest(AgentAttempt attempt) {
     Message.Dispatch d = attempt.dispatch();
     return new QueuedRequest(
         attempt.ticket(),
@@ -230,14 +230,14 @@
   }
 
   /** Refuses new attempts from now on and returns queued ones that do not start soon. */
-  synchronized void leave() {
-    leaving = true;
+  synchronized void drain() {
+    draining = true;
     scheduler.leave(clock.millis());
   }
 
   /** Tells whether new attempts are refused. */
-  synchronized boolean leaving() {
-    return leaving;
+  synchronized boolean isDraining() {
+    return draining;
   }
 
   /** Returns the number of attempts that are queued or running. */
@@ -261,22 +261,22 @@
 
   /** Executes the actions that the scheduler decides now. */
   void poll() {
-    List<Runnable> steps = new ArrayList<>();
+    List<Runnable> tasks = new ArrayList<>();
     synchronized (this) {
       for (AgentAction action : scheduler.poll(clock.millis())) {
-        steps.add(step(action));
+        tasks.add(toTask(action));
       }
       nextPollMillis = scheduler.nextPollMillis(clock.millis());
     }
-    steps.forEach(Runnable::run);
+    tasks.forEach(Runnable::run);
   }
 
-  private Runnable step(AgentAction action) {
+  private Runnable toTask(AgentAction action) {
     return switch (action) {
-      case AgentAction.Start start -> startStep(start);
-      case AgentAction.Refuse refusal -> refusalStep(refusal);
-      case AgentAction.Load load -> loadStep(load);
-      case AgentAction.AskPermit ask -> () -> turns.ask(ask.partner(), ask.demand());
+      case AgentAction.Start start -> startTask(start);
+      case AgentAction.Refuse refusal -> refusalTask(refusal);
+      case AgentAction.Load load -> loadTask(load);
+      case AgentAction.AskPermit ask -> () -> permits.request(ask.partner(), ask.demand());
     };
   }
 
@@ -291,17 +291,17 @@
       unused = loadsInFlight == 0;
     }
     if (unused) {
-      turns.done();
+      permits.release();
     }
   }
 
-  private Runnable startStep(AgentAction.Start start) {
+  private Runnable startTask(AgentAction.Start start) {
     AgentAttempt attempt = attempts.ofTicket(start.ticket());
     attempt.markStarted(engineIncarnation);
     return () -> run(attempt, start.loadStallMillis());
   }
 
-  private Runnable refusalStep(AgentAction.Refuse refusal) {
+  private Runnable refusalTask(AgentAction.Refuse refusal) {
     AgentAttempt attempt = attempts.ofTicket(refusal.ticket());
     attempts.remove(attempt);
     return () ->
@@ -311,7 +311,7 @@
                 refusal(
                     attempt.dispatch(),
                     refusal.type(),
-                    setup.endpoint(),
+                    parameters.endpoint(),
                     refusal.retryAfterMillis()));
   }
 
@@ -319,11 +319,11 @@
     Message.Dispatch d = attempt.dispatch();
     attempt.connection().send(new Message.Started(d.attempt(), loadStallMillis));
     if (startsTooLate()) {
-      giveBack(attempt, FailureType.ENDPOINT_LEAVING);
+      returnUnstarted(attempt, FailureType.ENDPOINT_LEAVING);
       return;
     }
-    if (!takesRequests()) {
-      giveBack(attempt, FailureType.ENDPOINT_BACKOFF);
+    if (!acceptsRequests()) {
+      returnUnstarted(attempt, FailureType.ENDPOINT_BACKOFF);
       return;
     }
     Map<String, String> headers = new HashMap<>();
@@ -334,12 +334,12 @@
     if (!d.idempotencyKey().isEmpty()) {
       headers.put("Idempotency-Key", d.idempotencyKey());
     }
-    HttpCall call = new HttpCall(d.method(), setup.uri().resolve(d.path()), headers, d.body());
+    HttpCall call = new HttpCall(d.method(), parameters.uri().resolve(d.path()), headers, d.body());
     attempt.attach(http.stream(call, attempt));
   }
 
-  private void giveBack(AgentAttempt attempt, FailureType why) {
-    sendFailed(attempt, why, Outcome.NOT_RUN, setup.endpoint().value(), false);
+  private void returnUnstarted(AgentAttempt attempt, FailureType why) {
+    sendFailed(attempt, why, Outcome.NOT_RUN, parameters.endpoint().value(), false);
     finish(attempt);
   }
 
@@ -351,25 +351,25 @@
     return !scheduler.mayStart(clock.millis());
   }
 
-  private Runnable loadStep(AgentAction.Load load) {
+  private Runnable loadTask(AgentAction.Load load) {
     loadsInFlight++;
     return () -> orderLoad(load);
   }
 
   private void orderLoad(AgentAction.Load load) {
-    if (!takesRequests()) {
-      loadEnded(load.adapter(), backoff());
+    if (!acceptsRequests()) {
+      loadEnded(load.adapter(), backoffFailure());
       return;
     }
-    setup
+    parameters
         .fencing()
         .number()
-        .thenCompose(number -> replace(load, number))
-        .thenCompose(done -> noticeRestart())
+        .thenCompose(number -> evictAndLoad(load, number))
+        .thenCompose(done -> checkIncarnation())
         .whenComplete((done, thrown) -> loadEnded(load.adapter(), thrown));
   }
 
-  private CompletableFuture<Void> replace(AgentAction.Load load, FencingNumber number) {
+  private CompletableFuture<Void> evictAndLoad(AgentAction.Load load, FencingNumber number) {
     CompletableFuture<Void> evicted =
         load.evict()
             .map(victim -> orders.unload(victim, number))
@@ -385,8 +385,8 @@
    * after a request had started on the adapter, the request would lose its pin while it runs and
    * its adapter could be evicted. An engine that does not answer this check does not fail the load.
    */
-  private CompletableFuture<Void> noticeRestart() {
-    return observeEngine().handle((state, thrown) -> null);
+  private CompletableFuture<Void> checkIncarnation() {
+    return requestEngineState().handle((state, thrown) -> null);
   }
 
   private void loadEnded(AdapterRef adapter, Throwable thrown) {
@@ -394,7 +394,8 @@
       loadsInFlight--;
       loadsEnded++;
       if (thrown == null) {
-        EventLog.log(EventType.ADAPTER_LOADED, "adapter", adapter, "endpoint", setup.endpoint());
+        EventLog.log(
+            EventType.ADAPTER_LOADED, "adapter", adapter, "endpoint", parameters.endpoint());
         scheduler.loaded(adapter, clock.millis());
       } else {
         HornbeamusherException failure = HornbeamusherException.from(thrown);
@@ -403,16 +404,16 @@
             "adapter",
             adapter,
             "endpoint",
-            setup.endpoint(),
+            parameters.endpoint(),
             "failure",
             failure.type());
         scheduler.loadFailed(adapter, clock.millis());
       }
     }
-    turns.done();
+    permits.release();
     if (thrown != null) {
-      observeEngine();
-      leaveIfSuperseded(HornbeamusherException.from(thrown));
+      requestEngineState();
+      drainIfSuperseded(HornbeamusherException.from(thrown));
     }
     poll();
   }
@@ -422,15 +423,15 @@
    * example after a long pause of this one. Two agents that send orders to one engine would evict
    * adapters that the other one's requests use.
    */
-  private void leaveIfSuperseded(HornbeamusherException failure) {
+  private void drainIfSuperseded(HornbeamusherException failure) {
     if (failure.type() == FailureType.STALE_FENCING_NUMBER) {
-      EventLog.log(EventType.AGENT_SUPERSEDED, "endpoint", setup.endpoint());
-      setup.superseded().run();
+      EventLog.log(EventType.AGENT_SUPERSEDED, "endpoint", parameters.endpoint());
+      parameters.superseded().run();
     }
   }
 
   @Override
-  public void answered(AgentAttempt attempt) {
+  public void completed(AgentAttempt attempt) {
     finish(attempt);
   }
 
@@ -443,9 +444,9 @@
    */
   @Override
   public void rejected(AgentAttempt attempt, int status, String body) {
-    boolean passing = status == NOT_FOUND || status == TOO_MANY_REQUESTS;
-    if (passing && requeue(attempt)) {
-      observeEngine().thenRun(this::poll);
+    boolean retryable = status == NOT_FOUND || status == TOO_MANY_REQUESTS;
+    if (retryable && requeue(attempt)) {
+      requestEngineState().thenRun(this::poll);
       return;
     }
     Outcome outcome = status >= FIRST_SERVER_ERROR ? Outcome.UNKNOWN : Outcome.NOT_RUN;
@@ -454,11 +455,11 @@
   }
 
   private synchronized boolean requeue(AgentAttempt attempt) {
-    if (!attempts.holds(attempt) || attempt.requeue() > MAX_REQUEUES) {
+    if (!attempts.contains(attempt) || attempt.requeue() > MAX_REQUEUES) {
       return false;
     }
     scheduler.finished(attempt.ticket(), clock.millis());
-    scheduler.submit(queued(attempt), clock.millis());
+    scheduler.submit(toQueuedRequest(attempt), clock.millis());
     return true;
   }
 
@@ -466,16 +467,16 @@
   public void failed(AgentAttempt attempt, HornbeamusherException failure) {
     if (failure.outcome() instanceof Outcome.NotRun) {
       if (failure.type() == FailureType.SEND_WITHDRAWN) {
-        giveBack(attempt, FailureType.ENDPOINT_BACKOFF);
+        returnUnstarted(attempt, FailureType.ENDPOINT_BACKOFF);
         return;
       }
       sendFailed(attempt, FailureType.ENDPOINT_FAILED, Outcome.NOT_RUN, "unreachable", false);
       finish(attempt);
-      observeEngine();
+      requestEngineState();
       return;
     }
     String before = attempt.startedOn();
-    observeEngine()
+    requestEngineState()
         .handle((state, thrown) -> thrown != null || !state.incarnation().equals(before))
         .thenAccept(
             crashed -> {
@@ -485,31 +486,36 @@
   }
 
   /** Requests the engine's state and applies it. A plain service has no state. */
-  CompletableFuture<EngineState> observeEngine() {
-    if (!setup.model()) {
+  CompletableFuture<EngineState> requestEngineState() {
+    if (!parameters.model()) {
       return CompletableFuture.failedFuture(
           HornbeamusherException.of(
-              FailureType.ENDPOINT_FAILED, Outcome.UNKNOWN, setup.endpoint(), "it has no state"));
+              FailureType.ENDPOINT_FAILED,
+              Outcome.UNKNOWN,
+              parameters.endpoint(),
+              "it has no state"));
     }
-    if (!takesRequests()) {
-      return CompletableFuture.failedFuture(backoff());
+    if (!acceptsRequests()) {
+      return CompletableFuture.failedFuture(backoffFailure());
     }
-    long asked = loadsEnded();
-    return orders.state().whenComplete((state, thrown) -> observed(state, thrown, asked));
+    long loadsEndedBefore = loadsEnded();
+    return orders
+        .state()
+        .whenComplete((state, thrown) -> stateReceived(state, thrown, loadsEndedBefore));
   }
 
   private synchronized long loadsEnded() {
     return loadsEnded;
   }
 
-  private void observed(EngineState state, Throwable thrown, long asked) {
-    takeIn(state, thrown, asked);
+  private void stateReceived(EngineState state, Throwable thrown, long loadsEndedBefore) {
+    applyState(state, thrown, loadsEndedBefore);
     if (thrown == null) {
-      setup.fencing().observed(state.fencing());
+      parameters.fencing().engineStateReceived(state.fencing());
     }
   }
 
-  private synchronized void takeIn(EngineState state, Throwable thrown, long asked) {
+  private synchronized void applyState(EngineState state, Throwable thrown, long loadsEndedBefore) {
     endpointDown = thrown != null;
     if (thrown != null) {
       return;
@@ -518,20 +524,20 @@
       boolean first = engineIncarnation.isEmpty();
       engineIncarnation = state.incarnation();
       if (!first) {
-        EventLog.log(EventType.ENDPOINT_RESTARTED, "endpoint", setup.endpoint());
+        EventLog.log(EventType.ENDPOINT_RESTARTED, "endpoint", parameters.endpoint());
         scheduler.endpointRestarted(clock.millis());
       }
     }
     // A load that ended after the request was sent may be missing from the state. Applying such a
     // state would lose a resident adapter and load it twice; the next state will contain it.
-    if (asked == loadsEnded && loadsInFlight == 0) {
+    if (loadsEndedBefore == loadsEnded && loadsInFlight == 0) {
       scheduler.residencyObserved(state.resident(), clock.millis());
     }
   }
 
   private void finish(AgentAttempt attempt) {
     synchronized (this) {
-      if (!attempts.holds(attempt)) {
+      if (!attempts.contains(attempt)) {
         return;
       }
       attempts.remove(attempt);
--- a/runtime/src/main/java/org/hornbeamusher/agent/EngineFencing.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/EngineFencing.java
@@ -19,7 +19,7 @@
   private final FencingLease lease;
   private CompletableFuture<FencingNumber> number = new CompletableFuture<>();
   private boolean leased;
-  private boolean asking;
+  private boolean acquiring;
 
   EngineFencing(FencingLease lease) {
     this.lease = lease;
@@ -31,23 +31,23 @@
   }
 
   /** Acquires a number, if none is acquired yet, above the highest that the engine has seen. */
-  void observed(long seenByEngine) {
+  void engineStateReceived(long seenByEngine) {
     synchronized (this) {
-      if (leased || asking) {
+      if (leased || acquiring) {
         return;
       }
-      asking = true;
+      acquiring = true;
     }
     lease
         .acquire(seenByEngine)
-        .whenComplete((acquired, thrown) -> answered(acquired, thrown, seenByEngine));
+        .whenComplete((acquired, thrown) -> acquireCompleted(acquired, thrown, seenByEngine));
   }
 
-  private void answered(FencingNumber acquired, Throwable thrown, long seenByEngine) {
+  private void acquireCompleted(FencingNumber acquired, Throwable thrown, long seenByEngine) {
     CompletableFuture<FencingNumber> waiting;
     FencingNumber next;
     synchronized (this) {
-      asking = false;
+      acquiring = false;
       leased = thrown == null;
       if (!leased && number.isDone()) {
         return;
--- a/runtime/src/main/java/org/hornbeamusher/agent/PermitExchange.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/PermitExchange.java
@@ -40,13 +40,13 @@
 final class PermitExchange {
 
   /** Permits of this agent for loads from its weight store. */
-  interface Turns {
+  interface LoadPermits {
 
     /** Requests a permit; demand 0 withdraws the request. */
-    void ask(PartnerId partner, double demand);
+    void request(PartnerId partner, double demand);
 
     /** Returns the permit that was granted last. */
-    void done();
+    void release();
   }
 
   /** Interval of reads of the instance list; with 1,400 agents the platform serves 140 reads/s. */
@@ -57,28 +57,28 @@
 
   private final EndpointId self;
   private final String store;
-  private final PermitSettings figures;
+  private final PermitSettings settings;
   private final Message.Hello hello;
   private final WireSettings wire;
   private final WireSockets sockets;
   private final Clock clock;
   private final Supplier<CompletableFuture<List<Instance>>> instances;
-  private final Runnable granted;
+  private final Runnable onGranted;
   private final PermitSourceChoice choice;
   private final LocalPacer pacer;
 
-  /** One ledger per weight store for which agents consider this agent the holder. */
-  private final Map<String, PermitLedger> ledgers = new HashMap<>();
+  /** One allocator per weight store for which agents consider this agent the holder. */
+  private final Map<String, PermitLedger> allocators = new HashMap<>();
 
-  private final Map<EndpointId, WireConnection> askers = new HashMap<>();
-  private Map<EndpointId, Instance> live = Map.of();
+  private final Map<EndpointId, WireConnection> requesters = new HashMap<>();
+  private Map<EndpointId, Instance> knownAgents = Map.of();
   private long nextListMillis;
   private PermitSource source = new PermitSource.OwnLedger();
   private Optional<Link> link = Optional.empty();
   private Optional<Message.PermitAsk> pending = Optional.empty();
 
   /** Returns the permit in use; empty without one. */
-  private Optional<Runnable> turn = Optional.empty();
+  private Optional<Runnable> permitInUse = Optional.empty();
 
   /** The connection to the holder. */
   private record Link(EndpointId holder, WireConnector connector) {}
@@ -90,7 +90,7 @@
    *
    * @param self this agent's instance
    * @param store the weight store it loads from
-   * @param figures the permit settings of the store
+   * @param settings the permit settings of the store
    * @param hello the hello message of this process
    * @param wire intervals and bounds of the connection
    * @param sockets plain or TLS sockets
@@ -98,7 +98,7 @@
   record Setup(
       EndpointId self,
       String store,
-      PermitSettings figures,
+      PermitSettings settings,
       Message.Hello hello,
       WireSettings wire,
       WireSockets sockets) {}
@@ -106,32 +106,32 @@
   PermitExchange(
       Setup setup,
       Supplier<CompletableFuture<List<Instance>>> instances,
-      Runnable granted,
+      Runnable onGranted,
       Clock clock) {
     this.self = setup.self();
     this.store = setup.store();
-    this.figures = setup.figures();
+    this.settings = setup.settings();
     this.hello = setup.hello();
     this.wire = setup.wire();
     this.sockets = setup.sockets();
     this.instances = instances;
-    this.granted = granted;
+    this.onGranted = onGranted;
     this.clock = clock;
     this.choice = new PermitSourceChoice(self, store);
-    this.pacer = new LocalPacer(figures.gapMillis(), self.value().hashCode());
+    this.pacer = new LocalPacer(settings.gapMillis(), self.value().hashCode());
   }
 
   /** Returns the interface through which the agent requests permits. */
-  Turns turns() {
-    return new Turns() {
+  LoadPermits permits() {
+    return new LoadPermits() {
       @Override
-      public void ask(PartnerId partner, double demand) {
-        PermitExchange.this.ask(partner, demand);
+      public void request(PartnerId partner, double demand) {
+        PermitExchange.this.request(partner, demand);
       }
 
       @Override
-      public void done() {
-        PermitExchange.this.done();
+      public void release() {
+        PermitExchange.this.release();
       }
     };
   }
@@ -139,14 +139,14 @@
   /** Updates the source of permits and grants those that are due. */
   void tick() {
     long now = clock.millis();
-    List<Runnable> steps = new ArrayList<>();
+    List<Runnable> tasks = new ArrayList<>();
     synchronized (this) {
       refreshList(now);
       chooseSource(now);
-      handOut(now, steps);
-      paceLocally(now, steps);
+      grantDue(now, tasks);
+      paceLocally(now, tasks);
     }
-    steps.forEach(Runnable::run);
+    tasks.forEach(Runnable::run);
   }
 
   /** Closes the connection to the holder. */
@@ -156,18 +156,19 @@
   }
 
   /** Handles a message of another agent to the holder; returns whether it concerned permits. */
-  synchronized boolean received(WireConnection connection, Message message) {
+  synchronized boolean messageReceived(WireConnection connection, Message message) {
     switch (message) {
       case Message.PermitAsk ask -> {
         EndpointId agent = new EndpointId(ask.endpoint());
-        askers.put(agent, connection);
-        ledger(ask.store()).ask(agent, new PartnerId(ask.partner()), ask.demand(), clock.millis());
+        requesters.put(agent, connection);
+        allocator(ask.store())
+            .ask(agent, new PartnerId(ask.partner()), ask.demand(), clock.millis());
       }
       case Message.PermitDone done ->
-          askers.forEach(
-              (agent, asked) -> {
-                if (asked == connection) {
-                  ledger(done.store()).done(agent, done.grant());
+          requesters.forEach(
+              (agent, requester) -> {
+                if (requester == connection) {
+                  allocator(done.store()).done(agent, done.grant());
                 }
               });
       default -> {
@@ -178,24 +179,25 @@
   }
 
   /** Removes the requests and permits of the agent at the other end. */
-  synchronized void closed(WireConnection connection) {
-    askers
+  synchronized void connectionClosed(WireConnection connection) {
+    requesters
         .entrySet()
         .removeIf(
             entry -> {
               boolean gone = entry.getValue() == connection;
               if (gone) {
-                ledgers.values().forEach(ledger -> ledger.lost(entry.getKey()));
+                allocators.values().forEach(allocator -> allocator.lost(entry.getKey()));
               }
               return gone;
             });
   }
 
-  private synchronized void ask(PartnerId partner, double demand) {
+  private synchronized void request(PartnerId partner, double demand) {
     Message.PermitAsk ask = new Message.PermitAsk(store, self.value(), partner.value(), demand);
     pending = demand > 0 ? Optional.of(ask) : Optional.empty();
     switch (source) {
-      case PermitSource.OwnLedger own -> ledger(store).ask(self, partner, demand, clock.millis());
+      case PermitSource.OwnLedger own ->
+          allocator(store).ask(self, partner, demand, clock.millis());
       case PermitSource.Holder holder -> {
         if (holderConnection != null) {
           holderConnection.send(ask);
@@ -205,9 +207,9 @@
     }
   }
 
-  private synchronized void done() {
-    turn.ifPresent(Runnable::run);
-    turn = Optional.empty();
+  private synchronized void release() {
+    permitInUse.ifPresent(Runnable::run);
+    permitInUse = Optional.empty();
   }
 
   /** Requests the instance list when due. The last list stays in use while requests fail. */
@@ -215,22 +217,22 @@
     if (now < nextListMillis) {
       return;
     }
-    nextListMillis = now + (live.size() > 1 ? LIST_MILLIS : ALONE_LIST_MILLIS);
-    instances.get().thenAccept(this::listed);
+    nextListMillis = now + (knownAgents.size() > 1 ? LIST_MILLIS : ALONE_LIST_MILLIS);
+    instances.get().thenAccept(this::listReceived);
   }
 
-  private synchronized void listed(List<Instance> listed) {
+  private synchronized void listReceived(List<Instance> instances) {
     Map<EndpointId, Instance> agents = new HashMap<>();
-    for (Instance instance : listed) {
+    for (Instance instance : instances) {
       if (instance.role() == Instance.Role.AGENT && !instance.leaving()) {
         agents.put(new EndpointId(instance.id()), instance);
       }
     }
-    live = agents;
+    knownAgents = agents;
   }
 
   private void chooseSource(long now) {
-    Set<EndpointId> all = new HashSet<>(live.keySet());
+    Set<EndpointId> all = new HashSet<>(knownAgents.keySet());
     all.add(self);
     Set<EndpointId> reachable = new HashSet<>(Set.of(self));
     if (holderConnection != null && holderConnection.isOpen()) {
@@ -250,7 +252,7 @@
     }
     stop();
     holderConnection = null;
-    Instance instance = live.get(holder);
+    Instance instance = knownAgents.get(holder);
     WireConnector connector =
         new WireConnector(
             new InetSocketAddress(instance.host(), instance.port()),
@@ -263,14 +265,14 @@
     connector.start();
   }
 
-  private void handOut(long now, List<Runnable> steps) {
-    ledgers.forEach(
-        (name, ledger) -> {
-          while (ledger.poll(now) instanceof PermitDecision.Grant grant) {
+  private void grantDue(long now, List<Runnable> tasks) {
+    allocators.forEach(
+        (name, allocator) -> {
+          while (allocator.poll(now) instanceof PermitDecision.Grant grant) {
             if (grant.agent().equals(self)) {
-              take(() -> ledger.done(self, grant.grant()), steps);
+              acceptPermit(() -> allocator.done(self, grant.grant()), tasks);
             } else {
-              askers
+              requesters
                   .get(grant.agent())
                   .send(new Message.PermitGrant(name, grant.grant(), grant.expiresMillis()));
             }
@@ -278,24 +280,24 @@
         });
   }
 
-  private void paceLocally(long now, List<Runnable> steps) {
+  private void paceLocally(long now, List<Runnable> tasks) {
     if (!(source instanceof PermitSource.Local)) {
       pacer.rest();
       return;
     }
-    if (pending.isPresent() && pacer.turn(live.size(), now) instanceof PaceDecision.Go) {
-      take(() -> {}, steps);
+    if (pending.isPresent() && pacer.turn(knownAgents.size(), now) instanceof PaceDecision.Go) {
+      acceptPermit(() -> {}, tasks);
     }
   }
 
-  private void take(Runnable end, List<Runnable> steps) {
+  private void acceptPermit(Runnable end, List<Runnable> tasks) {
     pending = Optional.empty();
-    turn = Optional.of(end);
-    steps.add(granted);
+    permitInUse = Optional.of(end);
+    tasks.add(onGranted);
   }
 
-  private PermitLedger ledger(String name) {
-    return ledgers.computeIfAbsent(name, key -> new PermitLedger(figures));
+  private PermitLedger allocator(String name) {
+    return allocators.computeIfAbsent(name, key -> new PermitLedger(settings));
   }
 
   /** Handles the connection to the holder. */
@@ -314,11 +316,12 @@
       if (!(message instanceof Message.PermitGrant grant)) {
         return;
       }
-      List<Runnable> steps = new ArrayList<>();
+      List<Runnable> tasks = new ArrayList<>();
       synchronized (PermitExchange.this) {
-        take(() -> connection.send(new Message.PermitDone(grant.store(), grant.grant())), steps);
+        acceptPermit(
+            () -> connection.send(new Message.PermitDone(grant.store(), grant.grant())), tasks);
       }
-      steps.forEach(Runnable::run);
+      tasks.forEach(Runnable::run);
     }
 
     @Override
--- a/runtime/src/main/java/org/hornbeamusher/companion/CompanionDaemon.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/CompanionDaemon.java
@@ -16,7 +16,7 @@
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
-import org.hornbeamusher.holdings.AdapterPlaces;
+import org.hornbeamusher.holdings.AdapterSlots;
 import org.hornbeamusher.holdings.EngineOrder;
 import org.hornbeamusher.holdings.EngineReport;
 import org.hornbeamusher.holdings.OrderAnswer;
@@ -55,10 +55,10 @@
   /** Bounds how long a restart of an idle engine goes unnoticed. */
   private static final long IDLE_REPORT_MILLIS = 400;
 
-  private static final long DOWN_REPORT_MILLIS = 150;
+  private static final long UNREACHABLE_REPORT_MILLIS = 150;
 
   /** At 0.4 s each, an engine that does not answer counts as unreachable after 1.5 s. */
-  private static final int MOST_FAILED_REPORTS = 3;
+  private static final int MAX_FAILED_REPORTS = 3;
 
   /** Interval at which time-based events (withdrawals, expired waits) are checked. */
   private static final long TICK_MILLIS = 20;
@@ -73,26 +73,28 @@
   private final ConnectedEntries entries = new ConnectedEntries();
   private final EntryServices services;
   private final MetricRegistry registry = new MetricRegistry();
-  private AdapterPlaces places;
+  private AdapterSlots adapterSlots;
   private EngineSpec spec;
   private EngineReport report;
 
-  private final EngineIdentity identity = new EngineIdentity();
+  private final EngineIncarnationTracker incarnationTracker = new EngineIncarnationTracker();
 
   /** Retry-After periods that the engine has stated for calls of this agent. */
   private final EndpointAvailability availability = new EndpointAvailability();
 
   /** Incarnations of the engine that have stated that they are draining. */
-  private final AvailabilityRegister statements = new AvailabilityRegister();
+  private final AvailabilityRegister incarnationAvailability = new AvailabilityRegister();
 
-  private boolean calling;
+  private boolean callInProgress;
   private boolean reachable = true;
   private int failedReports;
   private long nextReportMillis;
   private boolean stopped;
 
-  /** Whether {@link #act} is scheduled, after the tasks that are already queued in the loop. */
-  private boolean actingSoon;
+  /**
+   * Whether {@link #runDueWork} is scheduled, after the tasks that are already queued in the loop.
+   */
+  private boolean dueWorkScheduled;
 
   private EventLoop.Timer wakeUp = () -> {};
   private long wakeUpMillis = Long.MAX_VALUE;
@@ -147,7 +149,7 @@
   private void registerGauges() {
     Gauge<Integer> connected = entries::size;
     registry.gauge("agent.entries", () -> connected);
-    Gauge<Integer> spare = () -> places == null ? 0 : places.sparePlaces(clock.millis());
+    Gauge<Integer> spare = () -> adapterSlots == null ? 0 : adapterSlots.spareSlots(clock.millis());
     registry.gauge("agent.spare_places", () -> spare);
     Gauge<Integer> reachableNow = () -> reachable ? 1 : 0;
     registry.gauge("agent.engine_reachable", () -> reachableNow);
@@ -158,7 +160,7 @@
     registerGauges();
     server.start();
     loop.execute(fencing::start);
-    loop.execute(this::act);
+    loop.execute(this::runDueWork);
     EventLog.log(
         EventType.PROCESS_STARTED,
         "role",
@@ -187,11 +189,12 @@
       return;
     }
     spec = engineSpec;
-    if (places == null) {
-      places = new AdapterPlaces(spec.adapterPlaces(), versions, clock.millis());
-      Optional.ofNullable(report).ifPresent(said -> places.reported(said, clock.millis()));
+    if (adapterSlots == null) {
+      adapterSlots = new AdapterSlots(spec.adapterPlaces(), versions, clock.millis());
+      Optional.ofNullable(report)
+          .ifPresent(lastReport -> adapterSlots.recordReport(lastReport, clock.millis()));
     }
-    actSoon();
+    scheduleDueWork();
   }
 
   /**
@@ -203,7 +206,7 @@
   public void versioned(AdapterKey adapter, long version) {
     if (versions.offer(adapter, version)) {
       EventLog.log(EventType.VERSION_IN_FORCE, "adapter", adapter, "version", version);
-      actSoon();
+      scheduleDueWork();
     }
   }
 
@@ -211,10 +214,11 @@
   public void engineLeaving() {
     loop.execute(
         () -> {
-          Optional<EndpointLife> life = identity.current();
-          if (life.isPresent() && statements.of(life.get()).statedLeaving()) {
-            AvailabilityLog.leaving(life.get().id(), life.get().startMillis());
-            actSoon();
+          Optional<EndpointLife> incarnation = incarnationTracker.current();
+          if (incarnation.isPresent()
+              && incarnationAvailability.of(incarnation.get()).statedLeaving()) {
+            AvailabilityLog.leaving(incarnation.get().id(), incarnation.get().startMillis());
+            scheduleDueWork();
           }
         });
   }
@@ -223,9 +227,9 @@
   public void opened(WireConnection connection, Message.Hello hello) {
     loop.execute(
         () -> {
-          entries.opened(connection);
-          services.opened(connection);
-          actSoon();
+          entries.entryConnected(connection);
+          services.entryConnected(connection);
+          scheduleDueWork();
           EventLog.log(EventType.PEER_CONNECTED, "peer", hello.instance());
         });
   }
@@ -239,11 +243,11 @@
   public void closed(WireConnection connection, HornbeamusherException reason) {
     loop.execute(
         () -> {
-          OptionalLong entry = entries.closed(connection);
-          services.closed(connection);
-          if (entry.isPresent() && places != null) {
-            places.releaseAll(entry.getAsLong());
-            actSoon();
+          OptionalLong entry = entries.entryDisconnected(connection);
+          services.entryDisconnected(connection);
+          if (entry.isPresent() && adapterSlots != null) {
+            adapterSlots.releaseAll(entry.getAsLong());
+            scheduleDueWork();
             EventLog.log(
                 EventType.PEER_LOST, "peer", entry.getAsLong(), "reason", reason.type().label());
           }
@@ -255,21 +259,22 @@
       return;
     }
     OptionalLong known = entries.number(connection);
-    if (known.isEmpty() || places == null) {
+    if (known.isEmpty() || adapterSlots == null) {
       return;
     }
     long entry = known.getAsLong();
     switch (message) {
-      case Message.Reserve reserve -> places.reserve(reservation(entry, reserve), clock.millis());
+      case Message.Reserve reserve ->
+          adapterSlots.reserve(reservation(entry, reserve), clock.millis());
       case Message.PromptRead read ->
-          places.promptRead(new ReservationId(entry, read.reservation()));
+          adapterSlots.promptProcessed(new ReservationId(entry, read.reservation()));
       case Message.Release release ->
-          places.release(new ReservationId(entry, release.reservation()));
+          adapterSlots.release(new ReservationId(entry, release.reservation()));
       default -> {
         // A newer entry may send messages that this agent does not know.
       }
     }
-    actSoon();
+    scheduleDueWork();
   }
 
   private Reservation reservation(long entry, Message.Reserve reserve) {
@@ -282,54 +287,54 @@
         clock.millis() + reserve.aimMillis());
   }
 
-  /** Schedules {@link #act} once for all messages that are processed before it runs. */
-  private void actSoon() {
-    if (!actingSoon) {
-      actingSoon = true;
-      loop.execute(this::act);
+  /** Schedules {@link #runDueWork} once for all messages that are processed before it runs. */
+  private void scheduleDueWork() {
+    if (!dueWorkScheduled) {
+      dueWorkScheduled = true;
+      loop.execute(this::runDueWork);
     }
   }
 
   /** Performs all that is due: grants, a call to the engine, reports to the entries. */
-  private void act() {
-    actingSoon = false;
+  private void runDueWork() {
+    dueWorkScheduled = false;
     if (stopped) {
       return;
     }
-    if (places != null) {
+    if (adapterSlots != null) {
       grant();
-      places.observe(clock.millis());
+      adapterSlots.updateAdaptersInUse(clock.millis());
     }
-    if (!calling) {
+    if (!callInProgress) {
       callEngine();
     }
     long reportDueMillis = Long.MAX_VALUE;
-    if (places != null) {
+    if (adapterSlots != null) {
       reportHoldings();
-      reportDueMillis = entries.reportLoad(places, clock.millis());
+      reportDueMillis = entries.reportWorkload(adapterSlots, clock.millis());
     }
     wakeUpAt(Math.min(nextReportMillis, reportDueMillis));
   }
 
-  /** Schedules the next {@link #act}; without waiting requests only for the given time. */
+  /** Schedules the next {@link #runDueWork}; without waiting requests only for the given time. */
   private void wakeUpAt(long nextMillis) {
     long now = clock.millis();
-    boolean pending = places == null || places.pending();
+    boolean pending = adapterSlots == null || adapterSlots.hasTimedWork();
     long due = pending ? now + TICK_MILLIS : Math.max(now + TICK_MILLIS, nextMillis);
     if (due < wakeUpMillis || wakeUpMillis <= now) {
       wakeUp.cancel();
       wakeUpMillis = due;
-      wakeUp = loop.after(due - now, this::wokenUp);
+      wakeUp = loop.after(due - now, this::onWakeUp);
     }
   }
 
-  private void wokenUp() {
+  private void onWakeUp() {
     wakeUpMillis = Long.MAX_VALUE;
-    act();
+    runDueWork();
   }
 
   private void grant() {
-    places.takeGrants().forEach(entries::granted);
+    adapterSlots.takeGrants().forEach(entries::notifyGranted);
   }
 
   private void callEngine() {
@@ -338,52 +343,54 @@
       return;
     }
     Optional<FencingNumber> number = fencing.current();
-    Optional<EndpointLife> life = identity.current();
-    if (places != null && number.isPresent() && report != null && life.isPresent()) {
-      Optional<EngineOrder> order = places.nextOrder(spec.models(), now);
+    Optional<EndpointLife> incarnation = incarnationTracker.current();
+    if (adapterSlots != null && number.isPresent() && report != null && incarnation.isPresent()) {
+      Optional<EngineOrder> order = adapterSlots.nextOrder(spec.models(), now);
       if (order.isPresent()) {
-        order(order.get(), life.get(), number.get());
+        sendOrder(order.get(), incarnation.get(), number.get());
         return;
       }
     }
     if (now >= nextReportMillis) {
-      if (identity.needsName() && spec != null) {
-        identify();
+      if (incarnationTracker.needsId() && spec != null) {
+        requestId();
       } else {
-        ask();
+        requestReport();
       }
     }
   }
 
-  private void identify() {
-    calling = true;
-    engine.id().whenComplete((id, thrown) -> loop.execute(() -> identified(id, thrown)));
+  private void requestId() {
+    callInProgress = true;
+    engine.id().whenComplete((id, thrown) -> loop.execute(() -> idReceived(id, thrown)));
   }
 
-  private void identified(EndpointId id, Throwable thrown) {
-    calling = false;
-    if (backsOff(thrown)) {
+  private void idReceived(EndpointId id, Throwable thrown) {
+    callInProgress = false;
+    if (handleBackoff(thrown)) {
       return;
     }
     if (thrown != null) {
-      unreachable(thrown);
-      act();
+      callFailed(thrown);
+      runDueWork();
       return;
     }
-    identity.named(id);
-    ask();
+    incarnationTracker.idReceived(id);
+    requestReport();
   }
 
-  private void ask() {
-    calling = true;
-    engine.report().whenComplete((said, thrown) -> loop.execute(() -> reported(said, thrown)));
+  private void requestReport() {
+    callInProgress = true;
+    engine
+        .report()
+        .whenComplete((newReport, thrown) -> loop.execute(() -> reportReceived(newReport, thrown)));
   }
 
   /**
    * Handles a refusal with a Retry-After period. It contains no information about what the engine
    * holds, so the last report stays valid.
    */
-  private boolean backsOff(Throwable thrown) {
+  private boolean handleBackoff(Throwable thrown) {
     if (thrown == null) {
       return false;
     }
@@ -392,72 +399,75 @@
       return false;
     }
     long now = clock.millis();
-    long stated = failure.retryAfterMillis().orElse(DOWN_REPORT_MILLIS);
+    long stated = failure.retryAfterMillis().orElse(UNREACHABLE_REPORT_MILLIS);
     if (availability.answered(new StatedRetryAfter.Millis(stated), now)) {
       AvailabilityLog.backoff(
-          identity.current().map(life -> life.id().value()).orElse(""),
-          identity.current().map(EndpointLife::startMillis).orElse(EndpointLife.UNKNOWN_START),
+          incarnationTracker.current().map(incarnation -> incarnation.id().value()).orElse(""),
+          incarnationTracker
+              .current()
+              .map(EndpointLife::startMillis)
+              .orElse(EndpointLife.UNKNOWN_START),
           availability.backoffMillis(now));
     }
     nextReportMillis = now + Math.min(availability.backoffMillis(now), IDLE_REPORT_MILLIS);
-    act();
+    runDueWork();
     return true;
   }
 
-  private void reported(EngineReport said, Throwable thrown) {
-    calling = false;
-    if (backsOff(thrown)) {
+  private void reportReceived(EngineReport newReport, Throwable thrown) {
+    callInProgress = false;
+    if (handleBackoff(thrown)) {
       return;
     }
     if (thrown != null) {
-      unreachable(thrown);
-      act();
+      callFailed(thrown);
+      runDueWork();
       return;
     }
     reachable = true;
     failedReports = 0;
-    EngineIdentity.Verdict verdict = identity.reported(said);
+    EngineIncarnationTracker.Verdict verdict = incarnationTracker.recordReport(newReport);
     if (verdict.known()) {
-      take(said);
+      applyReport(newReport);
     } else {
       // The report is not used before the id of the incarnation is known.
       nextReportMillis = clock.millis() + (spec == null ? BUSY_REPORT_MILLIS : 0);
     }
-    if (verdict == EngineIdentity.Verdict.NAMED) {
-      lifeNamed(said);
+    if (verdict == EngineIncarnationTracker.Verdict.NAMED) {
+      incarnationIdentified(newReport);
     }
     if (verdict.ended()) {
-      lifeEnded(verdict);
+      incarnationEnded(verdict);
     }
-    act();
+    runDueWork();
   }
 
-  private void lifeNamed(EngineReport said) {
-    logSeen(said);
-    if (places != null) {
+  private void incarnationIdentified(EngineReport newReport) {
+    logEngineSeen(newReport);
+    if (adapterSlots != null) {
       // Sent before any grant: an entry that received the grant first would send the request on
       // behalf of the previous incarnation and abandon it when it learns of this one.
       reportHoldings();
     }
   }
 
-  private void logSeen(EngineReport said) {
+  private void logEngineSeen(EngineReport newReport) {
     EventLog.log(
         EventType.ENGINE_SEEN,
         "endpoint",
-        identity.current().map(EndpointLife::id).orElseThrow(),
+        incarnationTracker.current().map(EndpointLife::id).orElseThrow(),
         "start_ms",
-        said.startMillis(),
+        newReport.startMillis(),
         "sequence",
-        said.sequence());
+        newReport.sequence());
   }
 
-  private void take(EngineReport said) {
-    report = said;
-    if (places != null) {
-      places.reported(said, clock.millis());
+  private void applyReport(EngineReport newReport) {
+    report = newReport;
+    if (adapterSlots != null) {
+      adapterSlots.recordReport(newReport, clock.millis());
     }
-    boolean soon = places == null || places.inMotion();
+    boolean soon = adapterSlots == null || adapterSlots.changeExpected();
     nextReportMillis = clock.millis() + (soon ? BUSY_REPORT_MILLIS : IDLE_REPORT_MILLIS);
   }
 
@@ -466,17 +476,17 @@
    * transit, and the engine's id and, by chance, its count of orders may match those in the order;
    * the higher fencing number of the new orders makes the engine refuse it.
    */
-  private void lifeEnded(EngineIdentity.Verdict verdict) {
+  private void incarnationEnded(EngineIncarnationTracker.Verdict verdict) {
     report = null;
     fencing.advance();
-    if (places == null) {
+    if (adapterSlots == null) {
       return;
     }
-    if (verdict == EngineIdentity.Verdict.RESTARTED) {
-      places.restarted();
+    if (verdict == EngineIncarnationTracker.Verdict.RESTARTED) {
+      adapterSlots.engineRestarted();
     } else {
       // Entries cannot tell these two incarnations apart and keep their requests waiting here.
-      places.lost();
+      adapterSlots.engineUnreachable();
     }
   }
 
@@ -485,11 +495,11 @@
    * process may have been starved of CPU time; a refused connection or several consecutive timeouts
    * do.
    */
-  private void unreachable(Throwable thrown) {
-    nextReportMillis = clock.millis() + DOWN_REPORT_MILLIS;
+  private void callFailed(Throwable thrown) {
+    nextReportMillis = clock.millis() + UNREACHABLE_REPORT_MILLIS;
     failedReports++;
     boolean refused = HornbeamusherException.from(thrown).type() == FailureType.CONNECT_FAILED;
-    if (!refused && failedReports < MOST_FAILED_REPORTS) {
+    if (!refused && failedReports < MAX_FAILED_REPORTS) {
       return;
     }
     if (reachable) {
@@ -501,36 +511,37 @@
           HornbeamusherException.from(thrown).getMessage());
     }
     reachable = false;
-    identity.lost();
-    loseSight();
+    incarnationTracker.markUnreachable();
+    discardEngineState();
   }
 
-  private void loseSight() {
+  private void discardEngineState() {
     report = null;
-    if (places != null) {
-      places.lost();
+    if (adapterSlots != null) {
+      adapterSlots.engineUnreachable();
     }
   }
 
-  private void order(EngineOrder order, EndpointLife life, FencingNumber number) {
-    calling = true;
+  private void sendOrder(EngineOrder order, EndpointLife incarnation, FencingNumber number) {
+    callInProgress = true;
     long sequence = report.sequence();
     engine
-        .order(order, life.id(), sequence, number)
+        .order(order, incarnation.id(), sequence, number)
         .whenComplete(
-            (answer, thrown) ->
-                loop.execute(() -> ordered(order, life, sequence, number, answer, thrown)));
+            (result, thrown) ->
+                loop.execute(
+                    () -> orderCompleted(order, incarnation, sequence, number, result, thrown)));
   }
 
-  private void ordered(
+  private void orderCompleted(
       EngineOrder order,
-      EndpointLife life,
+      EndpointLife incarnation,
       long sequence,
       FencingNumber number,
-      OrderAnswer received,
+      OrderAnswer response,
       Throwable thrown) {
-    calling = false;
-    OrderAnswer answer = thrown == null ? received : OrderAnswer.UNKNOWN;
+    callInProgress = false;
+    OrderAnswer result = thrown == null ? response : OrderAnswer.UNKNOWN;
     EventLog.log(
         EventType.ENGINE_ORDERED,
         "order",
@@ -538,34 +549,36 @@
         "key",
         order.key(),
         "endpoint",
-        life.id(),
+        incarnation.id(),
         "start_ms",
-        life.startMillis(),
+        incarnation.startMillis(),
         "sequence",
         sequence,
         "fencing",
         number.value(),
         "answer",
-        answer);
+        result);
     String kind = order instanceof EngineOrder.Load ? "load" : "unload";
-    registry.counter("agent.orders." + kind + "." + answer.name().toLowerCase(Locale.ROOT)).inc();
-    places.answered(answer);
-    if (answer == OrderAnswer.STALE) {
+    registry.counter("agent.orders." + kind + "." + result.name().toLowerCase(Locale.ROOT)).inc();
+    adapterSlots.orderCompleted(result);
+    if (result == OrderAnswer.STALE) {
       fencing.refused();
     }
-    if (answer == OrderAnswer.OTHER_ENDPOINT) {
-      identity.refuted();
-      loseSight();
-      act();
-    } else if (!backsOff(thrown)) {
-      ask();
+    if (result == OrderAnswer.OTHER_ENDPOINT) {
+      incarnationTracker.idRefuted();
+      discardEngineState();
+      runDueWork();
+    } else if (!handleBackoff(thrown)) {
+      requestReport();
     }
   }
 
   private void reportHoldings() {
-    Optional<EndpointLife> life = report == null ? Optional.empty() : identity.current();
-    boolean stated = life.filter(one -> statements.of(one).leaving()).isPresent();
+    Optional<EndpointLife> incarnation =
+        report == null ? Optional.empty() : incarnationTracker.current();
+    boolean stated =
+        incarnation.filter(current -> incarnationAvailability.of(current).leaving()).isPresent();
     boolean leaving = stated || (report != null && report.leaving());
-    entries.reportHoldings(life, places, services.entries(), leaving);
+    entries.reportHoldings(incarnation, adapterSlots, services.entryCount(), leaving);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/companion/ConnectedEntries.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/ConnectedEntries.java
@@ -7,12 +7,12 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import org.hornbeamusher.directory.HeldAdapter;
-import org.hornbeamusher.holdings.AdapterPlaces;
-import org.hornbeamusher.holdings.EngineLoad;
-import org.hornbeamusher.holdings.EngineLoads;
+import org.hornbeamusher.holdings.AdapterSlots;
+import org.hornbeamusher.holdings.EngineWorkload;
+import org.hornbeamusher.holdings.EngineWorkloads;
 import org.hornbeamusher.holdings.LoadCosts;
-import org.hornbeamusher.holdings.LoadReportThrottle;
 import org.hornbeamusher.holdings.ReservationId;
+import org.hornbeamusher.holdings.WorkloadReportThrottle;
 import org.hornbeamusher.ids.EndpointLife;
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireConnection;
@@ -29,28 +29,28 @@
 final class ConnectedEntries {
 
   /** Minimum interval of load reports; each entry sends at most about one request in this time. */
-  private static final long LOAD_MILLIS = 60;
+  private static final long MIN_REPORT_INTERVAL_MILLIS = 60;
 
   private final Map<WireConnection, Entry> entries = new HashMap<>();
 
   /** The holdings last reported to every connected entry; null while an entry has none. */
-  private Holdings reported;
+  private Holdings reportedHoldings;
 
-  private long nextLoadMillis;
-  private long numbers;
+  private long nextReportMillis;
+  private long lastNumber;
 
   int size() {
     return entries.size();
   }
 
   /** Adds an entry that has connected; the next reports to it are complete. */
-  void opened(WireConnection connection) {
-    entries.put(connection, new Entry(++numbers));
-    reported = null;
+  void entryConnected(WireConnection connection) {
+    entries.put(connection, new Entry(++lastNumber));
+    reportedHoldings = null;
   }
 
   /** Removes a lost connection and returns the number that identifies its reservations. */
-  OptionalLong closed(WireConnection connection) {
+  OptionalLong entryDisconnected(WireConnection connection) {
     Entry entry = entries.remove(connection);
     return entry == null ? OptionalLong.empty() : OptionalLong.of(entry.number);
   }
@@ -62,7 +62,7 @@
   }
 
   /** Notifies the entry that made a reservation that its adapter is ready. */
-  void granted(ReservationId id) {
+  void notifyGranted(ReservationId id) {
     entries.forEach(
         (connection, entry) -> {
           if (entry.number == id.entry()) {
@@ -74,16 +74,20 @@
   /**
    * Reports what the engine holds, if that has changed.
    *
-   * @param life the current incarnation of the engine; empty while the engine is unreachable
-   * @param places what it holds
-   * @param sharing the number of entries that share the common limits
+   * @param incarnation the current incarnation of the engine; empty while the engine is unreachable
+   * @param adapterSlots what it holds
+   * @param entryCount the number of entries that share the common limits
    * @param leaving whether it takes no new work
    */
   void reportHoldings(
-      Optional<EndpointLife> life, AdapterPlaces places, int sharing, boolean leaving) {
-    Holdings now = new Holdings(life, places.held(), places.coming(), sharing, leaving);
-    if (!now.equals(reported)) {
-      reported = now;
+      Optional<EndpointLife> incarnation,
+      AdapterSlots adapterSlots,
+      int entryCount,
+      boolean leaving) {
+    Holdings now =
+        new Holdings(incarnation, adapterSlots.held(), adapterSlots.loading(), entryCount, leaving);
+    if (!now.equals(reportedHoldings)) {
+      reportedHoldings = now;
       Message message = now.message();
       entries.keySet().forEach(connection -> connection.send(message));
     }
@@ -92,54 +96,54 @@
   /**
    * Reports the engine's workload and load costs to each entry, if they have changed and are due.
    *
-   * @param places what it holds
+   * @param adapterSlots what it holds
    * @param now milliseconds
    * @return when the next report is due; {@link Long#MAX_VALUE} when no entry has one outstanding
    */
-  long reportLoad(AdapterPlaces places, long now) {
-    if (now < nextLoadMillis) {
-      return nextLoadMillis;
+  long reportWorkload(AdapterSlots adapterSlots, long now) {
+    if (now < nextReportMillis) {
+      return nextReportMillis;
     }
-    nextLoadMillis = now + LOAD_MILLIS;
+    nextReportMillis = now + MIN_REPORT_INTERVAL_MILLIS;
     long due = Long.MAX_VALUE;
-    EngineLoads loads = places.loads(now);
-    LoadCosts costs = places.costs();
+    EngineWorkloads workloads = adapterSlots.workloads(now);
+    LoadCosts costs = adapterSlots.costs();
     for (Map.Entry<WireConnection, Entry> one : entries.entrySet()) {
       Entry entry = one.getValue();
-      entry.reportLoad(one.getKey(), loads.others(entry.number), entries.size(), now);
+      entry.reportWorkload(one.getKey(), workloads.fromOthers(entry.number), entries.size(), now);
       entry.reportCosts(one.getKey(), costs);
       due = Math.min(due, entry.throttle.dueMillis(entries.size()));
     }
-    return Math.max(due, nextLoadMillis);
+    return Math.max(due, nextReportMillis);
   }
 
   /**
    * The state that is reported identically to every entry.
    *
-   * @param life the current incarnation of the engine
+   * @param incarnation the current incarnation of the engine
    * @param held adapters and base models that can be used
-   * @param coming adapters that are being loaded
-   * @param entries the number of entries
+   * @param loading adapters that are being loaded
+   * @param entryCount the number of entries
    * @param leaving whether the engine takes no new work
    */
   private record Holdings(
-      Optional<EndpointLife> life,
+      Optional<EndpointLife> incarnation,
       Set<HeldAdapter> held,
-      Set<HeldAdapter> coming,
-      int entries,
+      Set<HeldAdapter> loading,
+      int entryCount,
       boolean leaving) {
 
     Message message() {
       return new Message.Holdings(
-          life.map(one -> one.id().value()).orElse(""),
-          texts(held),
-          texts(coming),
-          entries,
+          incarnation.map(one -> one.id().value()).orElse(""),
+          toStrings(held),
+          toStrings(loading),
+          entryCount,
           leaving,
-          life.map(EndpointLife::startMillis).orElse(EndpointLife.UNKNOWN_START));
+          incarnation.map(EndpointLife::startMillis).orElse(EndpointLife.UNKNOWN_START));
     }
 
-    private static List<String> texts(Set<HeldAdapter> adapters) {
+    private static List<String> toStrings(Set<HeldAdapter> adapters) {
       return adapters.stream().map(HeldAdapter::toString).sorted().toList();
     }
   }
@@ -147,17 +151,18 @@
   private static final class Entry {
 
     private final long number;
-    private final LoadReportThrottle throttle = new LoadReportThrottle();
+    private final WorkloadReportThrottle throttle = new WorkloadReportThrottle();
     private LoadCosts reportedCosts;
 
     Entry(long number) {
       this.number = number;
     }
 
-    void reportLoad(WireConnection connection, EngineLoad load, int entries, long now) {
-      if (throttle.pass(load, entries, now)) {
+    void reportWorkload(WireConnection connection, EngineWorkload workload, int entries, long now) {
+      if (throttle.tryReport(workload, entries, now)) {
         connection.send(
-            new Message.PeerLoad(load.requests(), load.unreadTokens(), load.sparePlaces()));
+            new Message.PeerLoad(
+                workload.requests(), workload.pendingPromptTokens(), workload.spareSlots()));
       }
     }
 
--- a/runtime/src/main/java/org/hornbeamusher/companion/EngineIdentity.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/EngineIncarnationTracker.java
@@ -22,7 +22,7 @@
  * <p>Example: start times 100, 100, no answer, 70. The id is requested after the first report and
  * confirmed by the second; 70 is another incarnation, whose id is requested again.
  */
-final class EngineIdentity {
+final class EngineIncarnationTracker {
 
   /** The relation of a report to the known incarnation. */
   enum Verdict {
@@ -51,77 +51,77 @@
     }
   }
 
-  private Optional<EndpointLife> life = Optional.empty();
-  private Optional<EndpointId> named = Optional.empty();
-  private boolean silent = true;
-  private boolean seen;
+  private Optional<EndpointLife> incarnation = Optional.empty();
+  private Optional<EndpointId> engineId = Optional.empty();
+  private boolean unreachable = true;
+  private boolean reportSeen;
   private long startMillis = EndpointLife.UNKNOWN_START;
   private long sequence;
 
   /** Compares a report with the known incarnation and records it. */
-  Verdict reported(EngineReport report) {
-    boolean restarted = seen && !EndpointLife.sameStart(report.startMillis(), startMillis);
-    boolean reset = seen && report.sequence() < sequence;
-    remember(report);
+  Verdict recordReport(EngineReport report) {
+    boolean restarted = reportSeen && !EndpointLife.sameStart(report.startMillis(), startMillis);
+    boolean reset = reportSeen && report.sequence() < sequence;
+    storeReport(report);
     if (restarted || reset) {
-      return next(restarted ? Verdict.RESTARTED : Verdict.COUNT_RESET);
+      return startNewIncarnation(restarted ? Verdict.RESTARTED : Verdict.COUNT_RESET);
     }
-    if (life.isPresent()) {
-      life = life.map(one -> new EndpointLife(one.id(), startMillis));
+    if (incarnation.isPresent()) {
+      incarnation = incarnation.map(one -> new EndpointLife(one.id(), startMillis));
       return Verdict.SAME;
     }
-    life = named.map(id -> new EndpointLife(id, startMillis));
-    return life.isPresent() ? Verdict.NAMED : Verdict.UNNAMED;
+    incarnation = engineId.map(id -> new EndpointLife(id, startMillis));
+    return incarnation.isPresent() ? Verdict.NAMED : Verdict.UNNAMED;
   }
 
-  private void remember(EngineReport report) {
-    seen = true;
-    silent = false;
+  private void storeReport(EngineReport report) {
+    reportSeen = true;
+    unreachable = false;
     if (report.startMillis() != EndpointLife.UNKNOWN_START) {
       startMillis = report.startMillis();
     }
     sequence = report.sequence();
   }
 
-  private Verdict next(Verdict end) {
-    boolean known = life.isPresent();
-    life = Optional.empty();
-    named = Optional.empty();
+  private Verdict startNewIncarnation(Verdict end) {
+    boolean known = incarnation.isPresent();
+    incarnation = Optional.empty();
+    engineId = Optional.empty();
     return known ? end : Verdict.UNNAMED;
   }
 
   /** Records the id that the engine returned; the next report confirms it. */
-  void named(EndpointId id) {
-    named = Optional.of(id);
+  void idReceived(EndpointId id) {
+    engineId = Optional.of(id);
   }
 
-  /** Handles an engine that does not answer. */
-  void lost() {
-    silent = true;
+  /** Records that the engine does not respond. */
+  void markUnreachable() {
+    unreachable = true;
     if (startMillis == EndpointLife.UNKNOWN_START) {
-      forget();
+      reset();
     }
   }
 
   /** Handles the engine's statement that it has another id than the known one. */
-  void refuted() {
-    forget();
+  void idRefuted() {
+    reset();
   }
 
-  private void forget() {
-    life = Optional.empty();
-    named = Optional.empty();
-    seen = false;
-    silent = true;
+  private void reset() {
+    incarnation = Optional.empty();
+    engineId = Optional.empty();
+    reportSeen = false;
+    unreachable = true;
   }
 
   /** Tells whether the engine's id has to be requested. */
-  boolean needsName() {
-    return seen && !silent && life.isEmpty() && named.isEmpty();
+  boolean needsId() {
+    return reportSeen && !unreachable && incarnation.isEmpty() && engineId.isEmpty();
   }
 
-  /** Returns the incarnation of the last report; empty while it is unreachable or without id. */
+  /** Returns the current incarnation; empty while the engine is unreachable or its id unknown. */
   Optional<EndpointLife> current() {
-    return silent ? Optional.empty() : life;
+    return unreachable ? Optional.empty() : incarnation;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/companion/EntryServices.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/EntryServices.java
@@ -30,25 +30,25 @@
     this.refused = registry.counter("agent.rate_permits.refused");
   }
 
-  void opened(WireConnection entry) {
-    usage.opened(entry);
+  void entryConnected(WireConnection entry) {
+    usage.entryConnected(entry);
   }
 
-  void closed(WireConnection entry) {
-    usage.closed(entry);
+  void entryDisconnected(WireConnection entry) {
+    usage.entryDisconnected(entry);
   }
 
   /** Returns the number of entries, including those that are currently unreachable. */
-  int entries() {
-    return usage.entries();
+  int entryCount() {
+    return usage.entryCount();
   }
 
   /** Handles a message of an entry; returns false when it is for another component. */
   boolean received(WireConnection entry, Message message) {
     switch (message) {
       case Message.UsageReport report -> usage.received(entry, report);
-      case Message.Leaving leaving -> usage.left(entry);
-      case Message.RatePermitRequest request -> decide(entry, request);
+      case Message.Leaving leaving -> usage.entryLeaving(entry);
+      case Message.RatePermitRequest request -> decidePermit(entry, request);
       case Message.RateLimitLifted lifted -> {
         long now = clock.millis();
         permits.lifted(new EndpointId(lifted.endpoint()), now - lifted.sentAgoMillis(), now);
@@ -60,7 +60,7 @@
     return true;
   }
 
-  private void decide(WireConnection entry, Message.RatePermitRequest request) {
+  private void decidePermit(WireConnection entry, Message.RatePermitRequest request) {
     long now = clock.millis();
     PermitDecision decision =
         permits.permit(
--- a/runtime/src/main/java/org/hornbeamusher/companion/FencingNumbers.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/FencingNumbers.java
@@ -23,12 +23,12 @@
   private final FencingLease lease;
   private final EventLoop loop;
   private long number = 1;
-  private long step = 1;
-  private boolean taken;
-  private boolean asking;
+  private long increment = 1;
+  private boolean confirmed;
+  private boolean acquiring;
 
   /** Whether orders wait for the response of the table. */
-  private boolean held;
+  private boolean ordersHeld;
 
   private boolean retrying;
 
@@ -38,23 +38,23 @@
   }
 
   void start() {
-    held = true;
-    ask(number - 1);
+    ordersHeld = true;
+    acquire(number - 1);
   }
 
   /** Returns the current number; empty while orders wait for the table to answer or fail. */
   Optional<FencingNumber> current() {
-    return asking && held ? Optional.empty() : Optional.of(new FencingNumber(number));
+    return acquiring && ordersHeld ? Optional.empty() : Optional.of(new FencingNumber(number));
   }
 
   /** Raises the number after the engine has refused it as too low. */
   void refused() {
-    number += step;
-    step *= 2;
-    if (taken) {
-      taken = false;
-      held = true;
-      ask(number - 1);
+    number += increment;
+    increment *= 2;
+    if (confirmed) {
+      confirmed = false;
+      ordersHeld = true;
+      acquire(number - 1);
     }
   }
 
@@ -65,28 +65,28 @@
    */
   void advance() {
     number++;
-    taken = false;
-    if (!asking) {
-      ask(number - 1);
+    confirmed = false;
+    if (!acquiring) {
+      acquire(number - 1);
     }
   }
 
-  private void ask(long used) {
-    asking = true;
+  private void acquire(long used) {
+    acquiring = true;
     lease
         .acquire(used)
-        .whenComplete((acquired, thrown) -> loop.execute(() -> answered(acquired, thrown)));
+        .whenComplete((acquired, thrown) -> loop.execute(() -> acquireCompleted(acquired, thrown)));
   }
 
-  private void answered(FencingNumber acquired, Throwable thrown) {
-    asking = false;
-    held = false;
+  private void acquireCompleted(FencingNumber acquired, Throwable thrown) {
+    acquiring = false;
+    ordersHeld = false;
     if (thrown == null) {
-      taken = acquired.value() >= number;
+      confirmed = acquired.value() >= number;
       number = Math.max(number, acquired.value());
       EventLog.log(EventType.FENCING_NUMBER_TAKEN, "number", acquired.value());
-      if (!taken) {
-        ask(number - 1);
+      if (!confirmed) {
+        acquire(number - 1);
       }
       return;
     }
@@ -104,8 +104,8 @@
 
   private void retry() {
     retrying = false;
-    if (!taken && !asking) {
-      ask(number);
+    if (!confirmed && !acquiring) {
+      acquire(number);
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/companion/UsageRelayService.java
+++ b/runtime/src/main/java/org/hornbeamusher/companion/UsageRelayService.java
@@ -17,8 +17,8 @@
   private final UsageRelay<WireConnection> relay;
   private final EventLoop loop;
   private final Clock clock;
-  private boolean regular;
-  private boolean passingSoon;
+  private boolean periodic;
+  private boolean updateScheduled;
 
   UsageRelayService(QuotaSettings settings, EventLoop loop, Clock clock) {
     this.settings = settings;
@@ -27,49 +27,49 @@
     this.clock = clock;
   }
 
-  void opened(WireConnection entry) {
+  void entryConnected(WireConnection entry) {
     relay.opened(entry, entry.peer().instance());
   }
 
-  void left(WireConnection entry) {
+  void entryLeaving(WireConnection entry) {
     relay.left(entry);
   }
 
-  void closed(WireConnection entry) {
+  void entryDisconnected(WireConnection entry) {
     relay.closed(entry, clock.millis());
   }
 
-  int entries() {
+  int entryCount() {
     return relay.size(clock.millis());
   }
 
   void received(WireConnection entry, Message.UsageReport report) {
     relay.reported(entry, report.increments(), clock.millis());
-    if (relay.changed() && !passingSoon) {
-      passingSoon = true;
+    if (relay.changed() && !updateScheduled) {
+      updateScheduled = true;
       loop.after(
           settings.urgentMillis(),
           () -> {
-            passingSoon = false;
-            pass();
+            updateScheduled = false;
+            sendUpdates();
           });
     }
-    if (!regular) {
-      regular = true;
-      passRegularly();
+    if (!periodic) {
+      periodic = true;
+      sendPeriodically();
     }
   }
 
   /** Also sends without changes, because entries consider a silent relay unreachable. */
-  private void passRegularly() {
-    regular = relay.used(clock.millis());
-    if (regular) {
-      pass();
-      loop.after(settings.intervalMillis(relay.size(clock.millis())), this::passRegularly);
+  private void sendPeriodically() {
+    periodic = relay.used(clock.millis());
+    if (periodic) {
+      sendUpdates();
+      loop.after(settings.intervalMillis(relay.size(clock.millis())), this::sendPeriodically);
     }
   }
 
-  private void pass() {
+  private void sendUpdates() {
     long now = clock.millis();
     int reachable = relay.reachable(now);
     int entries = relay.size(now);
--- a/runtime/src/main/java/org/hornbeamusher/holdings/AdapterDemand.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/AdapterDemand.java
@@ -12,30 +12,30 @@
   /** One request counts for an eighth after 30 s, which is as good as none. */
   private static final double HALF_LIFE_MILLIS = 10_000;
 
-  private final Map<AdapterKey, Count> counts = new HashMap<>();
+  private final Map<AdapterKey, DecayingCounter> counts = new HashMap<>();
 
   /** Counts a request for an adapter. */
   void add(AdapterKey key, long now) {
-    counts.computeIfAbsent(key, unused -> new Count()).add(now);
+    counts.computeIfAbsent(key, unused -> new DecayingCounter()).add(now);
   }
 
   /** Returns the exponentially decayed number of requests for an adapter. */
-  double of(AdapterKey key, long now) {
-    Count known = counts.get(key);
-    return known == null ? 0 : known.at(now);
+  double estimate(AdapterKey key, long now) {
+    DecayingCounter known = counts.get(key);
+    return known == null ? 0 : known.valueAt(now);
   }
 
-  private static final class Count {
+  private static final class DecayingCounter {
 
     private double count;
     private long lastMillis;
 
     void add(long now) {
-      count = at(now) + 1;
+      count = valueAt(now) + 1;
       lastMillis = now;
     }
 
-    double at(long now) {
+    double valueAt(long now) {
       return count * Math.pow(0.5, Math.max(0, now - lastMillis) / HALF_LIFE_MILLIS);
     }
   }
--- a/runtime/src/main/java/org/hornbeamusher/holdings/AdapterPlaces.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/AdapterSlots.java
@@ -23,12 +23,12 @@
  * <ul>
  *   <li>An adapter with a reservation is never unloaded.
  *   <li>An adapter that is wanted and not loaded is loaded into a free slot, in the order of {@link
- *       LoadOrder}.
+ *       LoadPriority}.
  *   <li>The last slot is withheld from requests that will be late anyway, while requests that could
  *       still meet their target time have recently had to wait for a slot.
  *   <li>Without a free slot, the adapter with the lowest demand is evicted. It is first withdrawn:
  *       entries are notified that it is no longer held, and it is unloaded only after {@link
- *       #WITHDRAW_MILLIS}. A request that an entry sent in the meantime comes with a reservation,
+ *       #WITHDRAWAL_MILLIS}. A request that an entry sent in the meantime comes with a reservation,
  *       which cancels the withdrawal.
  *   <li>An adapter for which a newer version was published is not reported to entries as held; it
  *       is replaced once its last reservation has ended.
@@ -48,26 +48,26 @@
  * half of all sends were refused and each draws on the retry budget; a lease on each adapter,
  * because it would have to be renewed.
  */
-public final class AdapterPlaces {
+public final class AdapterSlots {
 
   /**
    * Time between withdrawal and unloading: a round trip between zones plus a delay of the event
    * loop. By then, the reservation of a request that was sent before the entry received the
    * withdrawal has arrived.
    */
-  static final long WITHDRAW_MILLIS = 20;
+  static final long WITHDRAWAL_MILLIS = 20;
 
   /** Connected entries have sent their reservations within this time after a start. */
-  static final long SETTLE_MILLIS = 1_000;
+  static final long STARTUP_GRACE_MILLIS = 1_000;
 
   /**
    * Slots withheld from requests that will be late anyway while other requests can still meet their
    * target time, because the run of a late request would occupy the last slot for seconds. Without
    * it, two in three requests that need a load are late under full load.
    */
-  private static final int KEPT_FOR_TIMELY = 1;
+  private static final int SLOTS_KEPT_FOR_ON_TIME = 1;
 
-  private final int places;
+  private final int slots;
   private final VersionsInForce versions;
   private final long startedMillis;
 
@@ -81,24 +81,24 @@
   /** Adapters whose load was ordered and is not yet shown by a report. */
   private final Set<AdapterKey> ordered = new HashSet<>();
 
-  private final LoadTimes times;
+  private final LoadTimeEstimator loadTimes;
 
   /** When a request that could still meet its target time last found no free slot. */
-  private long timelyWaitedMillis = Long.MIN_VALUE / 2;
+  private long lastOnTimeWaitMillis = Long.MIN_VALUE / 2;
 
   private EngineReport report;
-  private EngineOrder unanswered;
+  private EngineOrder outstandingOrder;
 
   /**
    * Creates an instance for an engine whose state is unknown.
    *
-   * @param places the engine's adapter slots
+   * @param slots the engine's adapter slots
    * @param versions the newest version of each adapter
    * @param now milliseconds
    */
-  public AdapterPlaces(int places, VersionsInForce versions, long now) {
-    this.places = places;
-    this.times = new LoadTimes(places);
+  public AdapterSlots(int slots, VersionsInForce versions, long now) {
+    this.slots = slots;
+    this.loadTimes = new LoadTimeEstimator(slots);
     this.versions = versions;
     this.startedMillis = now;
   }
@@ -106,25 +106,25 @@
   /**
    * Takes a report of the engine.
    *
-   * @param fresh the report
+   * @param newReport the report
    * @param now milliseconds
    */
-  public void reported(EngineReport fresh, long now) {
-    measure(fresh, now);
-    report = fresh;
-    withdrawn.keySet().retainAll(fresh.adapters().keySet());
-    if (unanswered == null) {
+  public void recordReport(EngineReport newReport, long now) {
+    recordLoadTimes(newReport, now);
+    report = newReport;
+    withdrawn.keySet().retainAll(newReport.adapters().keySet());
+    if (outstandingOrder == null) {
       ordered.clear();
     }
   }
 
-  private void measure(EngineReport fresh, long now) {
+  private void recordLoadTimes(EngineReport newReport, long now) {
     if (report != null) {
       report.adapters().keySet().stream()
-          .filter(key -> !fresh.adapters().containsKey(key))
-          .forEach(times::left);
+          .filter(key -> !newReport.adapters().containsKey(key))
+          .forEach(loadTimes::unloaded);
     }
-    times.held(fresh.adapters().keySet(), now);
+    loadTimes.updateHeld(newReport.adapters().keySet(), now);
   }
 
   /**
@@ -132,14 +132,14 @@
    *
    * @param now milliseconds
    */
-  public void observe(long now) {
+  public void updateAdaptersInUse(long now) {
     Set<AdapterKey> used = new HashSet<>();
     for (Reservation one : reservations.values()) {
       if (!waiting.containsKey(one.id()) && !one.adapter().key().isBase()) {
         used.add(one.adapter().key());
       }
     }
-    times.inUse(used, now);
+    loadTimes.updateInUse(used, now);
   }
 
   /**
@@ -148,7 +148,7 @@
    * @return the estimate from the engine's loads and runs so far
    */
   public LoadCosts costs() {
-    return times.costs();
+    return loadTimes.costs();
   }
 
   /**
@@ -156,19 +156,19 @@
    * it, and entries place waiting requests anew. A reservation that was kept would pin or load an
    * adapter that nobody needs.
    */
-  public void restarted() {
-    lost();
+  public void engineRestarted() {
+    engineUnreachable();
     reservations.clear();
     waiting.clear();
-    times.restarted();
+    loadTimes.engineRestarted();
   }
 
   /** Handles the loss of contact with the engine; what it holds is unknown. */
-  public void lost() {
+  public void engineUnreachable() {
     report = null;
-    unanswered = null;
+    outstandingOrder = null;
     ordered.clear();
-    times.lost();
+    loadTimes.engineUnreachable();
     withdrawn.clear();
   }
 
@@ -192,11 +192,11 @@
    *
    * @param id the reservation
    */
-  public void promptRead(ReservationId id) {
+  public void promptProcessed(ReservationId id) {
     reservations.computeIfPresent(
         id,
         (unused, r) ->
-            new Reservation(r.id(), r.adapter(), r.rank(), 0, r.expiresMillis(), r.aimMillis()));
+            new Reservation(r.id(), r.adapter(), r.rank(), 0, r.expiresMillis(), r.targetMillis()));
   }
 
   /**
@@ -227,7 +227,7 @@
   public List<ReservationId> takeGrants() {
     List<ReservationId> granted = new ArrayList<>();
     for (Reservation wanted : waiting.values()) {
-      if (usable(wanted.adapter())) {
+      if (isUsable(wanted.adapter())) {
         granted.add(wanted.id());
       }
     }
@@ -235,7 +235,7 @@
     return granted;
   }
 
-  private boolean usable(HeldAdapter adapter) {
+  private boolean isUsable(HeldAdapter adapter) {
     if (report == null || !report.models().contains(adapter.key().model())) {
       return false;
     }
@@ -243,12 +243,12 @@
       return true;
     }
     Long version = report.adapters().get(adapter.key());
-    return version != null && version >= adapter.version() && !replacing(adapter.key());
+    return version != null && version >= adapter.version() && !isReplacing(adapter.key());
   }
 
-  private boolean replacing(AdapterKey key) {
+  private boolean isReplacing(AdapterKey key) {
     return ordered.contains(key)
-        || (unanswered instanceof EngineOrder.Load load && load.key().equals(key));
+        || (outstandingOrder instanceof EngineOrder.Load load && load.key().equals(key));
   }
 
   /**
@@ -266,7 +266,7 @@
         .adapters()
         .forEach(
             (key, version) -> {
-              if (!withdrawn.containsKey(key) && version >= versions.of(key) && !replacing(key)) {
+              if (!withdrawn.containsKey(key) && version >= versions.of(key) && !isReplacing(key)) {
                 held.add(new HeldAdapter(key, version));
               }
             });
@@ -278,10 +278,10 @@
    *
    * @return adapters ordered or loading, at their newest version
    */
-  public Set<HeldAdapter> coming() {
-    Set<HeldAdapter> coming = new HashSet<>(report == null ? Set.of() : report.pending());
-    ordered.forEach(key -> coming.add(new HeldAdapter(key, versions.of(key))));
-    return coming;
+  public Set<HeldAdapter> loading() {
+    Set<HeldAdapter> loading = new HashSet<>(report == null ? Set.of() : report.pending());
+    ordered.forEach(key -> loading.add(new HeldAdapter(key, versions.of(key))));
+    return loading;
   }
 
   /**
@@ -289,13 +289,13 @@
    *
    * @return whether to request the next report soon
    */
-  public boolean inMotion() {
+  public boolean changeExpected() {
     return report == null
         || report.busy()
         || report.models().isEmpty()
         || !report.pending().isEmpty()
         || !ordered.isEmpty()
-        || unanswered != null;
+        || outstandingOrder != null;
   }
 
   /**
@@ -304,8 +304,8 @@
    * @param now milliseconds
    * @return the workload by entry
    */
-  public EngineLoads loads(long now) {
-    return new EngineLoads(reservations.values(), sparePlaces(now));
+  public EngineWorkloads workloads(long now) {
+    return new EngineWorkloads(reservations.values(), spareSlots(now));
   }
 
   /**
@@ -313,7 +313,7 @@
    *
    * @return whether a request is waiting or an adapter is withdrawn
    */
-  public boolean pending() {
+  public boolean hasTimedWork() {
     return !waiting.isEmpty() || !withdrawn.isEmpty();
   }
 
@@ -324,17 +324,17 @@
    * @return slots that are free or occupied by unused adapters, minus adapters waiting for a slot
    *     and, under pressure, minus the slot withheld from late requests
    */
-  public int sparePlaces(long now) {
+  public int spareSlots(long now) {
     if (report == null) {
       return 0;
     }
     Set<AdapterKey> wanted = new HashSet<>();
     waiting.values().stream()
         .map(reservation -> reservation.adapter().key())
-        .filter(key -> !key.isBase() && !isComing(key) && !report.adapters().containsKey(key))
+        .filter(key -> !key.isBase() && !isLoading(key) && !report.adapters().containsKey(key))
         .forEach(wanted::add);
-    int kept = pressed(now) ? KEPT_FOR_TIMELY : 0;
-    return (int) (usablePlaces() - kept - wanted.size());
+    int kept = underPressure(now) ? SLOTS_KEPT_FOR_ON_TIME : 0;
+    return (int) (usableSlots() - kept - wanted.size());
   }
 
   /**
@@ -345,27 +345,27 @@
    * @return the order, or empty when there is nothing to do
    */
   public Optional<EngineOrder> nextOrder(List<String> models, long now) {
-    if (report == null || unanswered != null || report.busy() || report.leaving()) {
+    if (report == null || outstandingOrder != null || report.busy() || report.leaving()) {
       return Optional.empty();
     }
     waiting.values().removeIf(wanted -> wanted.expiresMillis() <= now);
-    Optional<EngineOrder> order = missingModel(models);
+    Optional<EngineOrder> order = baseModelOrder(models);
     if (order.isEmpty()) {
-      order = wantedAdapter(now);
+      order = wantedAdapterOrder(now);
     }
     if (order.isEmpty()) {
-      order = replacement(now);
+      order = newVersionOrder(now);
     }
-    order.ifPresent(next -> sent(next, now));
+    order.ifPresent(next -> orderSent(next, now));
     return order;
   }
 
-  private void sent(EngineOrder order, long now) {
-    unanswered = order;
+  private void orderSent(EngineOrder order, long now) {
+    outstandingOrder = order;
     if (order instanceof EngineOrder.Load load) {
       ordered.add(load.key());
       if (!load.key().isBase() && !report.adapters().containsKey(load.key())) {
-        times.ordered(load.key(), now);
+        loadTimes.loadOrdered(load.key(), now);
       }
     }
   }
@@ -373,16 +373,16 @@
   /**
    * Takes the result of the last order. A report has to be taken before the next order.
    *
-   * @param answer the result
+   * @param result the result
    */
-  public void answered(OrderAnswer answer) {
-    unanswered = null;
-    if (answer != OrderAnswer.ACCEPTED && answer != OrderAnswer.UNKNOWN) {
+  public void orderCompleted(OrderAnswer result) {
+    outstandingOrder = null;
+    if (result != OrderAnswer.ACCEPTED && result != OrderAnswer.UNKNOWN) {
       ordered.clear();
     }
   }
 
-  private Optional<EngineOrder> missingModel(List<String> models) {
+  private Optional<EngineOrder> baseModelOrder(List<String> models) {
     if (!report.models().isEmpty()) {
       return Optional.empty();
     }
@@ -391,32 +391,34 @@
         .map(model -> new EngineOrder.Load(new AdapterKey(model, "")));
   }
 
-  private Optional<EngineOrder> wantedAdapter(long now) {
-    for (Reservation wanted : LoadOrder.of(waiting.values(), now)) {
-      if (LoadOrder.late(wanted, now) && pressed(now) && usablePlaces() <= KEPT_FOR_TIMELY) {
+  private Optional<EngineOrder> wantedAdapterOrder(long now) {
+    for (Reservation wanted : LoadPriority.sort(waiting.values(), now)) {
+      if (LoadPriority.isLate(wanted, now)
+          && underPressure(now)
+          && usableSlots() <= SLOTS_KEPT_FOR_ON_TIME) {
         return Optional.empty();
       }
       AdapterKey key = wanted.adapter().key();
       boolean model = report.models().contains(key.model());
-      if (!model || usable(wanted.adapter()) || key.isBase() || isComing(key)) {
+      if (!model || isUsable(wanted.adapter()) || key.isBase() || isLoading(key)) {
         continue;
       }
       if (report.adapters().containsKey(key)) {
-        if (unused(key)) {
+        if (isUnused(key)) {
           return Optional.of(new EngineOrder.Load(key));
         }
         continue;
       }
-      if (report.pending().size() + ordered.size() >= times.window()) {
+      if (report.pending().size() + ordered.size() >= loadTimes.maxConcurrentLoads()) {
         return Optional.empty();
       }
-      if (taken() < places) {
+      if (occupiedSlots() < slots) {
         return Optional.of(new EngineOrder.Load(key));
       }
-      if (!LoadOrder.late(wanted, now)) {
-        timelyWaitedMillis = now;
+      if (!LoadPriority.isLate(wanted, now)) {
+        lastOnTimeWaitMillis = now;
       }
-      return makeRoom(now);
+      return evictionOrder(now);
     }
     return Optional.empty();
   }
@@ -425,60 +427,63 @@
    * Tells whether a request that could meet its target time recently had to wait for a slot. For
    * the mean time of use of a slot, another such request is expected.
    */
-  private boolean pressed(long now) {
-    return now - timelyWaitedMillis < times.useMillis();
+  private boolean underPressure(long now) {
+    return now - lastOnTimeWaitMillis < loadTimes.useMillis();
   }
 
   /** Returns the number of slots that are free or occupied by unused adapters. */
-  private long usablePlaces() {
-    return places - taken() + report.adapters().keySet().stream().filter(this::unused).count();
+  private long usableSlots() {
+    return slots
+        - occupiedSlots()
+        + report.adapters().keySet().stream().filter(this::isUnused).count();
   }
 
-  private boolean isComing(AdapterKey key) {
+  private boolean isLoading(AdapterKey key) {
     return ordered.contains(key)
         || report.pending().stream().anyMatch(pending -> pending.key().equals(key));
   }
 
-  private int taken() {
-    Set<AdapterKey> taken = new HashSet<>(report.adapters().keySet());
-    report.pending().forEach(pending -> taken.add(pending.key()));
-    taken.addAll(ordered);
-    return taken.size();
+  private int occupiedSlots() {
+    Set<AdapterKey> occupied = new HashSet<>(report.adapters().keySet());
+    report.pending().forEach(pending -> occupied.add(pending.key()));
+    occupied.addAll(ordered);
+    return occupied.size();
   }
 
-  private Optional<EngineOrder> makeRoom(long now) {
+  private Optional<EngineOrder> evictionOrder(long now) {
     for (Map.Entry<AdapterKey, Long> entry : withdrawn.entrySet()) {
-      if (now - entry.getValue() >= WITHDRAW_MILLIS && unused(entry.getKey())) {
+      if (now - entry.getValue() >= WITHDRAWAL_MILLIS && isUnused(entry.getKey())) {
         return Optional.of(new EngineOrder.Unload(entry.getKey()));
       }
     }
-    if (withdrawn.isEmpty() && now - startedMillis >= SETTLE_MILLIS) {
-      leastWanted(now).ifPresent(key -> withdrawn.put(key, now));
+    if (withdrawn.isEmpty() && now - startedMillis >= STARTUP_GRACE_MILLIS) {
+      evictionCandidate(now).ifPresent(key -> withdrawn.put(key, now));
     }
     return Optional.empty();
   }
 
-  private Optional<AdapterKey> leastWanted(long now) {
+  private Optional<AdapterKey> evictionCandidate(long now) {
     return report.adapters().keySet().stream()
-        .filter(this::unused)
+        .filter(this::isUnused)
         .min(
-            Comparator.comparing((AdapterKey key) -> !stale(key))
-                .thenComparingDouble(key -> demand.of(key, now)));
+            Comparator.comparing((AdapterKey key) -> !isStale(key))
+                .thenComparingDouble(key -> demand.estimate(key, now)));
   }
 
   /** Returns a load of a newer version of an adapter in demand, before a request needs it. */
-  private Optional<EngineOrder> replacement(long now) {
-    if (report.pending().size() + ordered.size() >= times.window()) {
+  private Optional<EngineOrder> newVersionOrder(long now) {
+    if (report.pending().size() + ordered.size() >= loadTimes.maxConcurrentLoads()) {
       return Optional.empty();
     }
     return report.adapters().keySet().stream()
-        .filter(key -> stale(key) && unused(key) && !isComing(key) && !withdrawn.containsKey(key))
-        .filter(key -> demand.of(key, now) >= 1)
+        .filter(
+            key -> isStale(key) && isUnused(key) && !isLoading(key) && !withdrawn.containsKey(key))
+        .filter(key -> demand.estimate(key, now) >= 1)
         .findFirst()
         .map(EngineOrder.Load::new);
   }
 
-  private boolean stale(AdapterKey key) {
+  private boolean isStale(AdapterKey key) {
     return report.adapters().get(key) < versions.of(key);
   }
 
@@ -486,7 +491,7 @@
    * Tells whether no request runs on an adapter; a reservation waiting for a newer version does not
    * count.
    */
-  private boolean unused(AdapterKey key) {
+  private boolean isUnused(AdapterKey key) {
     return reservations.values().stream()
         .noneMatch(r -> r.adapter().key().equals(key) && !waiting.containsKey(r.id()));
   }
--- a/runtime/src/main/java/org/hornbeamusher/holdings/LoadWindow.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/LoadConcurrencyWindow.java
@@ -17,50 +17,53 @@
  * <p>Rejected: permits granted by one agent to the others, because the granting agent would have to
  * be replaced after the loss of its instance, which is just when permits are needed.
  */
-final class LoadWindow {
+final class LoadConcurrencyWindow {
 
   /** The engine refuses a fifth concurrent load. */
-  private static final int MOST = 4;
+  private static final int MAX_SIZE = 4;
 
-  private static final int FIRST = 2;
+  private static final int INITIAL_SIZE = 2;
 
   /** A load slower than this multiple of the uncongested time indicates a congested store. */
-  private static final double SHARED = 1.5;
+  private static final double CONGESTION_RATIO = 1.5;
 
-  /** Maximum growth of the uncongested time per load, so that it adapts to a slower store. */
-  private static final double DRIFT = 1.01;
+  /** Maximum growth factor of the uncongested time per load, so that a slower store is learnt. */
+  private static final double MAX_BASELINE_GROWTH = 1.01;
 
   /**
-   * Maximum reduction of the uncongested time per load, because a load from the engine's cache may
-   * be mistaken for one from the store.
+   * Minimum factor by which one load may lower the uncongested time, because a load from the
+   * engine's cache may be mistaken for one from the store.
    */
-  private static final double MOST_DROP = 0.95;
+  private static final double MIN_BASELINE_RATIO = 0.95;
 
-  private double aloneMillis;
-  private int size = FIRST;
+  private double uncongestedMillis;
+  private int size = INITIAL_SIZE;
 
   /** Loads completed since the last change; those started before it do not reflect it. */
-  private int sinceChange;
+  private int loadsSinceChange;
 
-  LoadWindow(double priorMillis) {
-    aloneMillis = priorMillis;
+  LoadConcurrencyWindow(double initialMillis) {
+    uncongestedMillis = initialMillis;
   }
 
   /** Records the duration of a load from the weight store. */
-  void loaded(long tookMillis) {
-    aloneMillis = Math.max(aloneMillis * MOST_DROP, Math.min(aloneMillis * DRIFT, tookMillis));
-    sinceChange++;
-    if (sinceChange >= size) {
-      sinceChange = 0;
-      boolean shared = tookMillis > SHARED * aloneMillis;
-      size = shared ? Math.max(1, size - 1) : Math.min(MOST, size + 1);
+  void loadCompleted(long tookMillis) {
+    uncongestedMillis =
+        Math.max(
+            uncongestedMillis * MIN_BASELINE_RATIO,
+            Math.min(uncongestedMillis * MAX_BASELINE_GROWTH, tookMillis));
+    loadsSinceChange++;
+    if (loadsSinceChange >= size) {
+      loadsSinceChange = 0;
+      boolean congested = tookMillis > CONGESTION_RATIO * uncongestedMillis;
+      size = congested ? Math.max(1, size - 1) : Math.min(MAX_SIZE, size + 1);
     }
   }
 
   /** Resets the window for a new incarnation of the engine. */
-  void restarted() {
-    size = FIRST;
-    sinceChange = 0;
+  void reset() {
+    size = INITIAL_SIZE;
+    loadsSinceChange = 0;
   }
 
   /** Returns how many loads may be in progress at once. */
--- a/runtime/src/main/java/org/hornbeamusher/holdings/LoadCosts.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/LoadCosts.java
@@ -26,11 +26,11 @@
   /**
    * Returns the estimate used before the first load.
    *
-   * @param places the engine's adapter slots
+   * @param slots the engine's adapter slots
    * @return the costs
    */
-  public static LoadCosts prior(int places) {
-    int atLeastOne = Math.max(1, places);
+  public static LoadCosts prior(int slots) {
+    int atLeastOne = Math.max(1, slots);
     return new LoadCosts(
         STORE_MILLIS, COPY_MILLIS, USE_MILLIS / atLeastOne, COPIES_A_PLACE * atLeastOne);
   }
--- a/runtime/src/main/java/org/hornbeamusher/holdings/LoadOrder.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/LoadPriority.java
@@ -27,12 +27,12 @@
  * times. An adapter in low demand is not starved: the adapters ahead of it are loaded and then no
  * longer wait.
  */
-final class LoadOrder {
+final class LoadPriority {
 
   /** A load from the weight store plus the processing of a short prompt. */
   private static final long LOAD_MILLIS = 280;
 
-  private LoadOrder() {}
+  private LoadPriority() {}
 
   /**
    * Sorts the awaited adapters.
@@ -42,15 +42,15 @@
    * @return for each awaited adapter, the request with the earliest target time, preferring those
    *     that can still meet it
    */
-  static List<Reservation> of(Collection<Reservation> waiting, long now) {
-    Map<HeldAdapter, Wanted> wanted = new LinkedHashMap<>();
+  static List<Reservation> sort(Collection<Reservation> waiting, long now) {
+    Map<HeldAdapter, AdapterWaiters> wanted = new LinkedHashMap<>();
     waiting.forEach(
-        one -> wanted.computeIfAbsent(one.adapter(), unused -> new Wanted()).add(one, now));
+        one -> wanted.computeIfAbsent(one.adapter(), unused -> new AdapterWaiters()).add(one, now));
     return wanted.values().stream()
         .sorted(
-            Comparator.comparing((Wanted one) -> one.timely == 0)
-                .thenComparingInt(one -> one.timely == 0 ? -one.all : -one.timely)
-                .thenComparingLong(one -> one.first.aimMillis()))
+            Comparator.comparing((AdapterWaiters one) -> one.onTime == 0)
+                .thenComparingInt(one -> one.onTime == 0 ? -one.all : -one.onTime)
+                .thenComparingLong(one -> one.first.targetMillis()))
         .map(one -> one.first)
         .toList();
   }
@@ -62,31 +62,31 @@
    * @param now milliseconds
    * @return whether a load that starts now would end too late for it
    */
-  static boolean late(Reservation reservation, long now) {
-    return reservation.aimMillis() - now < LOAD_MILLIS;
+  static boolean isLate(Reservation reservation, long now) {
+    return reservation.targetMillis() - now < LOAD_MILLIS;
   }
 
   /** The requests waiting for one adapter. */
-  private static final class Wanted {
+  private static final class AdapterWaiters {
 
     private int all;
-    private int timely;
+    private int onTime;
     private Reservation first;
 
     void add(Reservation one, long now) {
       all++;
-      boolean inTime = !late(one, now);
-      if (inTime) {
-        timely++;
+      boolean isOnTime = !isLate(one, now);
+      if (isOnTime) {
+        onTime++;
       }
-      if (first == null || before(one, inTime, now)) {
+      if (first == null || isBefore(one, isOnTime, now)) {
         first = one;
       }
     }
 
-    private boolean before(Reservation one, boolean inTime, long now) {
-      boolean firstInTime = !late(first, now);
-      return inTime == firstInTime ? one.aimMillis() < first.aimMillis() : inTime;
+    private boolean isBefore(Reservation one, boolean isOnTime, long now) {
+      boolean isFirstOnTime = !isLate(first, now);
+      return isOnTime == isFirstOnTime ? one.targetMillis() < first.targetMillis() : isOnTime;
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/holdings/LoadTimes.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/LoadTimeEstimator.java
@@ -28,146 +28,149 @@
  * that has their adapter cached because the wait for a slot there appears to be seconds, and the
  * adapter would be loaded from the weight store again.
  */
-final class LoadTimes {
+final class LoadTimeEstimator {
 
   /** Averages over ten loads: under full load, a change of the store's speed shows within 1 s. */
-  private static final double NEW_SHARE = 0.1;
+  private static final double SMOOTHING_FACTOR = 0.1;
 
-  /** Below this ratio to a store load, a load came from the cache, which takes a tenth. */
-  private static final double COPY_BOUND = 0.4;
+  /** Loads below this ratio to a store load count as cached; a cached load takes a tenth. */
+  private static final double CACHED_LOAD_RATIO = 0.4;
 
   /** A longer load indicates a lost order rather than a slow store. */
-  private static final long MOST_LOAD_MILLIS = 3_000;
+  private static final long MAX_LOAD_MILLIS = 3_000;
 
   /** Number of unloaded adapters that are tracked; more than any engine caches. */
-  private static final int MOST_LEFT = 1_024;
+  private static final int MAX_UNLOADED = 1_024;
 
   /** A wrong cache size is corrected after about twice this many loads that contradict it. */
-  private static final int DEPTH_STEPS = 8;
+  private static final int CACHE_SIZE_STEPS = 8;
 
   /** A load that no report has shown within this time was refused or lost. */
-  private static final long FORGOTTEN_MILLIS = 5_000;
+  private static final long LOST_LOAD_MILLIS = 5_000;
 
   /** Times are rounded to this unit, so that noise is not reported to the entries. */
-  private static final long STEP_MILLIS = 10;
+  private static final long ROUNDING_MILLIS = 10;
 
-  private final int places;
+  private final int slots;
 
   /** Unloaded adapters, the most recent last. */
-  private final LinkedHashSet<AdapterKey> left = new LinkedHashSet<>();
+  private final LinkedHashSet<AdapterKey> unloaded = new LinkedHashSet<>();
 
-  private final LoadWindow window;
+  private final LoadConcurrencyWindow loadWindow;
 
   /** The order times of the loads in progress, for adapters that were not held. */
-  private final Map<AdapterKey, Long> orderedMillis = new HashMap<>();
+  private final Map<AdapterKey, Long> orderedAtMillis = new HashMap<>();
 
   /** The time since which each adapter has been in use without interruption. */
-  private final Map<AdapterKey, Long> usedSince = new HashMap<>();
+  private final Map<AdapterKey, Long> inUseSinceMillis = new HashMap<>();
 
   private double storeMillis;
-  private double copyMillis;
+  private double cachedMillis;
   private double useMillis;
-  private int copies;
+  private int cachedAdapters;
 
-  LoadTimes(int places) {
-    this.places = Math.max(1, places);
-    LoadCosts prior = LoadCosts.prior(places);
+  LoadTimeEstimator(int slots) {
+    this.slots = Math.max(1, slots);
+    LoadCosts prior = LoadCosts.prior(slots);
     storeMillis = prior.storeMillis();
-    copyMillis = prior.copyMillis();
-    useMillis = prior.placeMillis() * this.places;
-    copies = prior.copies();
-    window = new LoadWindow(storeMillis);
+    cachedMillis = prior.copyMillis();
+    useMillis = prior.placeMillis() * this.slots;
+    cachedAdapters = prior.copies();
+    loadWindow = new LoadConcurrencyWindow(storeMillis);
   }
 
   /** Records that an adapter was unloaded. */
-  void left(AdapterKey key) {
-    left.remove(key);
-    left.add(key);
-    if (left.size() > MOST_LEFT) {
-      left.remove(left.iterator().next());
+  void unloaded(AdapterKey key) {
+    unloaded.remove(key);
+    unloaded.add(key);
+    if (unloaded.size() > MAX_UNLOADED) {
+      unloaded.remove(unloaded.iterator().next());
     }
   }
 
   /** Handles a restart of the engine, after which its cache is empty. */
-  void restarted() {
-    left.clear();
-    usedSince.clear();
-    window.restarted();
+  void engineRestarted() {
+    unloaded.clear();
+    inUseSinceMillis.clear();
+    loadWindow.reset();
   }
 
   /** Handles the loss of contact with the engine; the outcome of its loads is unknown. */
-  void lost() {
-    orderedMillis.clear();
+  void engineUnreachable() {
+    orderedAtMillis.clear();
   }
 
   /** Records an order to load an adapter that is not held. */
-  void ordered(AdapterKey key, long now) {
-    orderedMillis.put(key, now);
+  void loadOrdered(AdapterKey key, long now) {
+    orderedAtMillis.put(key, now);
   }
 
   /** Takes the adapters that the engine holds according to a report. */
-  void held(Set<AdapterKey> held, long now) {
-    for (AdapterKey key : List.copyOf(orderedMillis.keySet())) {
-      long took = now - orderedMillis.get(key);
-      boolean there = held.contains(key);
-      if (there) {
-        loaded(key, took);
+  void updateHeld(Set<AdapterKey> held, long now) {
+    for (AdapterKey key : List.copyOf(orderedAtMillis.keySet())) {
+      long took = now - orderedAtMillis.get(key);
+      boolean isHeld = held.contains(key);
+      if (isHeld) {
+        loadCompleted(key, took);
       }
-      if (there || took > FORGOTTEN_MILLIS) {
-        orderedMillis.remove(key);
+      if (isHeld || took > LOST_LOAD_MILLIS) {
+        orderedAtMillis.remove(key);
       }
     }
   }
 
   /** Takes the adapters that have running requests. */
-  void inUse(Set<AdapterKey> used, long now) {
-    for (AdapterKey key : List.copyOf(usedSince.keySet())) {
+  void updateInUse(Set<AdapterKey> used, long now) {
+    for (AdapterKey key : List.copyOf(inUseSinceMillis.keySet())) {
       if (!used.contains(key)) {
-        used(now - usedSince.remove(key));
+        useEnded(now - inUseSinceMillis.remove(key));
       }
     }
-    used.forEach(key -> usedSince.putIfAbsent(key, now));
+    used.forEach(key -> inUseSinceMillis.putIfAbsent(key, now));
   }
 
   /** Records a completed load. */
-  void loaded(AdapterKey key, long tookMillis) {
-    long took = Math.min(MOST_LOAD_MILLIS, tookMillis);
-    boolean fromCopy = left.contains(key) && took < COPY_BOUND * storeMillis;
-    if (left.contains(key)) {
-      learnDepth(depth(key), fromCopy);
+  void loadCompleted(AdapterKey key, long tookMillis) {
+    long took = Math.min(MAX_LOAD_MILLIS, tookMillis);
+    boolean fromCache = unloaded.contains(key) && took < CACHED_LOAD_RATIO * storeMillis;
+    if (unloaded.contains(key)) {
+      updateCacheSize(depth(key), fromCache);
     }
-    if (fromCopy) {
-      copyMillis += NEW_SHARE * (took - copyMillis);
+    if (fromCache) {
+      cachedMillis += SMOOTHING_FACTOR * (took - cachedMillis);
     } else {
-      storeMillis += NEW_SHARE * (took - storeMillis);
-      window.loaded(took);
+      storeMillis += SMOOTHING_FACTOR * (took - storeMillis);
+      loadWindow.loadCompleted(took);
     }
-    left.remove(key);
+    unloaded.remove(key);
   }
 
-  private void learnDepth(int depth, boolean fromCopy) {
-    if (fromCopy) {
-      copies = Math.max(copies, depth + 1);
+  private void updateCacheSize(int depth, boolean fromCache) {
+    if (fromCache) {
+      cachedAdapters = Math.max(cachedAdapters, depth + 1);
     } else {
       // One load may be slow for another reason, such as an order that was executed late.
-      copies = Math.min(copies, Math.max(depth, copies - Math.max(1, copies / DEPTH_STEPS)));
+      cachedAdapters =
+          Math.min(
+              cachedAdapters,
+              Math.max(depth, cachedAdapters - Math.max(1, cachedAdapters / CACHE_SIZE_STEPS)));
     }
   }
 
   /** Returns the number of adapters that were unloaded after this one. */
   private int depth(AdapterKey key) {
-    List<AdapterKey> oldestFirst = new ArrayList<>(left);
-    return left.size() - 1 - oldestFirst.indexOf(key);
+    List<AdapterKey> oldestFirst = new ArrayList<>(unloaded);
+    return unloaded.size() - 1 - oldestFirst.indexOf(key);
   }
 
   /** Records how long an adapter was in use without interruption. */
-  void used(long tookMillis) {
-    useMillis += NEW_SHARE * (tookMillis - useMillis);
+  void useEnded(long tookMillis) {
+    useMillis += SMOOTHING_FACTOR * (tookMillis - useMillis);
   }
 
   /** Returns how many adapters may be loading at once. */
-  int window() {
-    return window.size();
+  int maxConcurrentLoads() {
+    return loadWindow.size();
   }
 
   /** Returns the mean time that an adapter is in use without interruption. */
@@ -177,10 +180,13 @@
 
   LoadCosts costs() {
     return new LoadCosts(
-        step(storeMillis), step(copyMillis), Math.max(1, step(useMillis / places)), copies);
+        round(storeMillis),
+        round(cachedMillis),
+        Math.max(1, round(useMillis / slots)),
+        cachedAdapters);
   }
 
-  private static long step(double millis) {
-    return Math.round(millis / STEP_MILLIS) * STEP_MILLIS;
+  private static long round(double millis) {
+    return Math.round(millis / ROUNDING_MILLIS) * ROUNDING_MILLIS;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/holdings/Reservation.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/Reservation.java
@@ -8,14 +8,14 @@
  * @param id unique among all entries
  * @param adapter adapter and version
  * @param rank the request's priority; 0 is the most urgent
- * @param unreadTokens prompt tokens that are not yet processed
+ * @param pendingPromptTokens prompt tokens that are not yet processed
  * @param expiresMillis time after which the request no longer needs a slot
- * @param aimMillis target time of its first event
+ * @param targetMillis target time of its first event
  */
 public record Reservation(
     ReservationId id,
     HeldAdapter adapter,
     int rank,
-    long unreadTokens,
+    long pendingPromptTokens,
     long expiresMillis,
-    long aimMillis) {}
+    long targetMillis) {}
--- a/runtime/src/main/java/org/hornbeamusher/holdings/LoadReportThrottle.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/WorkloadReportThrottle.java
@@ -19,30 +19,30 @@
  * engine; querying the candidate engines when a request is placed, which adds a round trip to each
  * request.
  */
-public final class LoadReportThrottle {
+public final class WorkloadReportThrottle {
 
   /** With five entries, the interval is 60 ms, in which each sends at most about one request. */
-  private static final long MILLIS_PER_ENTRY = 12;
+  private static final long INTERVAL_MILLIS_PER_ENTRY = 12;
 
-  private static final long MOST_MILLIS = 1_000;
+  private static final long MAX_INTERVAL_MILLIS = 1_000;
 
   /**
    * An engine processes this many tokens in 0.1 s, as much delay as a load or a farther engine
    * adds.
    */
-  private static final long MANY_TOKENS = 4_096;
+  private static final long URGENT_TOKENS = 4_096;
 
   /** Each request adds a few milliseconds to the time to first event of the next one. */
-  private static final int MANY_REQUESTS = 4;
+  private static final int URGENT_REQUESTS = 4;
 
-  private EngineLoad reported;
+  private EngineWorkload reported;
   private long reportedMillis;
 
   /** Whether the load has changed since the last report. */
   private boolean changed;
 
   /** Creates a throttle that has not reported anything yet. */
-  public LoadReportThrottle() {}
+  public WorkloadReportThrottle() {}
 
   /**
    * Decides whether a workload is reported now; if so, records it as reported.
@@ -52,9 +52,9 @@
    * @param now milliseconds
    * @return whether to report it
    */
-  public boolean pass(EngineLoad load, int entries, long now) {
+  public boolean tryReport(EngineWorkload load, int entries, long now) {
     changed = !load.equals(reported);
-    if (!changed || !(movesRequests(load) || now >= dueMillis(entries))) {
+    if (!changed || !(affectsPlacement(load) || now >= dueMillis(entries))) {
       return false;
     }
     changed = false;
@@ -71,14 +71,14 @@
    */
   public long dueMillis(int entries) {
     return changed
-        ? reportedMillis + Math.min(MOST_MILLIS, entries * MILLIS_PER_ENTRY)
+        ? reportedMillis + Math.min(MAX_INTERVAL_MILLIS, entries * INTERVAL_MILLIS_PER_ENTRY)
         : Long.MAX_VALUE;
   }
 
-  private boolean movesRequests(EngineLoad load) {
+  private boolean affectsPlacement(EngineWorkload load) {
     return reported == null
-        || Math.abs(load.unreadTokens() - reported.unreadTokens()) >= MANY_TOKENS
-        || Math.abs(load.requests() - reported.requests()) >= MANY_REQUESTS
-        || (load.sparePlaces() > 0) != (reported.sparePlaces() > 0);
+        || Math.abs(load.pendingPromptTokens() - reported.pendingPromptTokens()) >= URGENT_TOKENS
+        || Math.abs(load.requests() - reported.requests()) >= URGENT_REQUESTS
+        || (load.spareSlots() > 0) != (reported.spareSlots() > 0);
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/agent/AgentBackoffTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/agent/AgentBackoffTest.java
@@ -23,17 +23,17 @@
 
   /** Guards against sending a request to an endpoint before its Retry-After period ends. */
   @Test
-  void requestIsGivenBackBeforeTheRetryAfterOfTheEndpointEnds() throws InterruptedException {
-    try (ShellFixture agent = new ShellFixture(AgentBackoffTest::refuse)) {
+  void requestIsReturnedDuringRetryAfterPeriod() throws InterruptedException {
+    try (EndpointExecutorFixture agent = new EndpointExecutorFixture(AgentBackoffTest::refuse)) {
       agent.dispatch(1, "/first");
       awaitEnd(agent, 1);
       agent.dispatch(2, "/early");
       awaitEnd(agent, 2);
       assertEquals(List.of("/first"), agent.paths());
-      Message.Failed givenBack = agent.failures().get(0);
-      assertEquals(FailureType.ENDPOINT_BACKOFF.number(), givenBack.failure());
-      assertEquals("not-run", givenBack.outcome());
-      assertEquals(BACKOFF_MILLIS, givenBack.retryAfterMillis());
+      Message.Failed returned = agent.failures().get(0);
+      assertEquals(FailureType.ENDPOINT_BACKOFF.number(), returned.failure());
+      assertEquals("not-run", returned.outcome());
+      assertEquals(BACKOFF_MILLIS, returned.retryAfterMillis());
       agent.clock.advance(BACKOFF_MILLIS);
       agent.dispatch(3, "/later");
       awaitEnd(agent, 3);
@@ -43,9 +43,10 @@
 
   /** Guards against executing a start that was decided before the endpoint stated Retry-After. */
   @Test
-  void startThatIsHeldUpIsGivenBack() throws InterruptedException {
-    try (ShellFixture agent = new ShellFixture(AgentBackoffTest::refuse)) {
-      agent.atNextStart(() -> agent.shell.backedOff(new StatedRetryAfter.Millis(BACKOFF_MILLIS)));
+  void delayedStartIsReturned() throws InterruptedException {
+    try (EndpointExecutorFixture agent = new EndpointExecutorFixture(AgentBackoffTest::refuse)) {
+      agent.onNextStart(
+          () -> agent.executor.retryAfterStated(new StatedRetryAfter.Millis(BACKOFF_MILLIS)));
       agent.dispatch(1, "/held-up");
       awaitEnd(agent, 1);
       assertEquals(List.of(), agent.paths());
@@ -53,7 +54,8 @@
     }
   }
 
-  private static void awaitEnd(ShellFixture agent, int requests) throws InterruptedException {
+  private static void awaitEnd(EndpointExecutorFixture agent, int requests)
+      throws InterruptedException {
     while (agent.ended() < requests) {
       TimeUnit.MILLISECONDS.sleep(10);
     }
--- a/runtime/src/test/java/org/hornbeamusher/agent/AgentLeavingTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/agent/AgentDrainTest.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.Test;
 
 /** Requests to an endpoint whose agent is draining. */
-class AgentLeavingTest {
+class AgentDrainTest {
 
   private static final long DRAINED_MILLIS = 2_000;
 
   /** Guards against a start that was decided in time and executed after the drain had ended. */
   @Test
-  void startThatIsHeldUpIsGivenBack() throws InterruptedException {
-    try (ShellFixture agent = new ShellFixture(exchange -> {})) {
-      agent.atNextStart(
+  void delayedStartIsReturned() throws InterruptedException {
+    try (EndpointExecutorFixture agent = new EndpointExecutorFixture(exchange -> {})) {
+      agent.onNextStart(
           () -> {
             agent.dispatch(2, "/held-up");
-            agent.shell.leave();
+            agent.executor.drain();
             agent.clock.advance(DRAINED_MILLIS);
           });
       agent.dispatch(1, "/first");
@@ -31,7 +31,7 @@
       assertEquals(1, agent.failures().size());
       assertEquals(FailureType.ENDPOINT_LEAVING.number(), agent.failures().get(0).failure());
       assertEquals("not-run", agent.failures().get(0).outcome());
-      assertTrue(agent.shell.outstanding() <= 1);
+      assertTrue(agent.executor.outstanding() <= 1);
     }
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/agent/ShellFixture.java
+++ b/runtime/src/test/java/org/hornbeamusher/agent/EndpointExecutorFixture.java
@@ -20,35 +20,35 @@
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireConnection;
 
-/** An {@link AgentShell} with a plain endpoint on loopback and an entry connection. */
-final class ShellFixture implements AutoCloseable {
+/** An {@link EndpointExecutor} with a plain endpoint on loopback and an entry connection. */
+final class EndpointExecutorFixture implements AutoCloseable {
 
   private static final EndpointId ID = new EndpointId("e");
   private static final long DEADLINE_MILLIS = 60_000;
   private static final int BATCH = 2;
 
   final ManualClock clock = new ManualClock(0);
-  final AgentShell shell;
+  final EndpointExecutor executor;
 
   private final List<String> paths = new CopyOnWriteArrayList<>();
   private final List<Message> sent = new CopyOnWriteArrayList<>();
   private final Entry entry = new Entry();
   private final HttpClient http = new HttpClient(1);
-  private final HttpHandler answer;
+  private final HttpHandler handler;
   private final Undertow endpoint =
       Undertow.builder().addHttpListener(0, "127.0.0.1").setHandler(this::handle).build();
-  private Runnable atStart = () -> {};
+  private Runnable startAction = () -> {};
 
   /** Starts the fixture; the endpoint answers all requests with the given handler. */
-  ShellFixture(HttpHandler answer) {
-    this.answer = answer;
+  EndpointExecutorFixture(HttpHandler handler) {
+    this.handler = handler;
     endpoint.start();
     http.start();
     InetSocketAddress at = (InetSocketAddress) endpoint.getListenerInfo().get(0).getAddress();
     URI uri = URI.create("http://127.0.0.1:" + at.getPort());
-    shell =
-        new AgentShell(
-            new AgentShell.AgentSetup(
+    executor =
+        new EndpointExecutor(
+            new EndpointExecutor.EndpointParameters(
                 ID,
                 uri,
                 false,
@@ -59,27 +59,27 @@
             new EngineOrders(ID, uri, http, 1_000),
             http,
             adapter -> "",
-            new NoTurns(),
+            new NoPermits(),
             clock);
   }
 
   private void handle(HttpServerExchange exchange) throws Exception {
     paths.add(exchange.getRequestPath());
-    answer.handleRequest(exchange);
+    handler.handleRequest(exchange);
   }
 
   /** Runs an action once, when the entry is notified that its next request starts. */
-  void atNextStart(Runnable action) {
-    atStart =
+  void onNextStart(Runnable action) {
+    startAction =
         () -> {
-          atStart = () -> {};
+          startAction = () -> {};
           action.run();
         };
   }
 
   /** Dispatches a request from the entry to the agent. */
   void dispatch(long attempt, String path) {
-    shell.dispatch(
+    executor.dispatch(
         entry,
         new Message.Dispatch(
             attempt,
@@ -136,7 +136,7 @@
     public boolean send(Message message) {
       sent.add(message);
       if (message instanceof Message.Started) {
-        atStart.run();
+        startAction.run();
       }
       return true;
     }
@@ -160,12 +160,12 @@
     public void stop() {}
   }
 
-  private static final class NoTurns implements PermitExchange.Turns {
+  private static final class NoPermits implements PermitExchange.LoadPermits {
 
     @Override
-    public void ask(PartnerId partner, double demand) {}
+    public void request(PartnerId partner, double demand) {}
 
     @Override
-    public void done() {}
+    public void release() {}
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/agent/PermitExchangeTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/agent/PermitExchangeTest.java
@@ -32,19 +32,19 @@
 class PermitExchangeTest {
 
   private static final PermitSettings FAST = new PermitSettings(5, 1, 60_000, 60_000, Map.of());
-  private static final long PATIENCE_MILLIS = 15_000;
+  private static final long TIMEOUT_MILLIS = 15_000;
 
   private final List<Agent> agents = new ArrayList<>();
   private final AtomicInteger loading = new AtomicInteger();
-  private final AtomicInteger mostAtOnce = new AtomicInteger();
+  private final AtomicInteger maxConcurrentLoads = new AtomicInteger();
 
   private final class Agent implements WireListener {
 
     final EndpointId id;
     final WireServer server;
     final PermitExchange exchange;
-    int turns;
-    boolean asking;
+    int permits;
+    boolean requested;
 
     Agent(String name) {
       id = new EndpointId(name);
@@ -68,21 +68,21 @@
     }
 
     private synchronized void granted() {
-      asking = false;
-      turns++;
-      mostAtOnce.accumulateAndGet(loading.incrementAndGet(), Math::max);
+      requested = false;
+      permits++;
+      maxConcurrentLoads.accumulateAndGet(loading.incrementAndGet(), Math::max);
     }
 
     /** Ends a load that is in progress and requests the next permit. */
     synchronized void step() {
       exchange.tick();
-      if (!asking) {
-        if (turns > 0) {
+      if (!requested) {
+        if (permits > 0) {
           loading.decrementAndGet();
-          exchange.turns().done();
+          exchange.permits().release();
         }
-        asking = true;
-        exchange.turns().ask(new PartnerId("zarqa"), 1);
+        requested = true;
+        exchange.permits().request(new PartnerId("zarqa"), 1);
       }
     }
 
@@ -91,12 +91,12 @@
 
     @Override
     public void received(WireConnection connection, Message message) {
-      exchange.received(connection, message);
+      exchange.messageReceived(connection, message);
     }
 
     @Override
     public void closed(WireConnection connection, HornbeamusherException reason) {
-      exchange.closed(connection);
+      exchange.connectionClosed(connection);
     }
   }
 
@@ -131,10 +131,10 @@
     return agents.stream().filter(agent -> agent.id.equals(id)).findFirst().orElseThrow();
   }
 
-  private void runUntilEachHas(int turns, List<Agent> which) throws InterruptedException {
-    long end = System.nanoTime() + PATIENCE_MILLIS * 1_000_000;
-    while (which.stream().anyMatch(agent -> agent.turns < turns)) {
-      assertTrue(System.nanoTime() < end, "permits " + which.stream().map(a -> a.turns).toList());
+  private void runUntilEachHas(int permits, List<Agent> which) throws InterruptedException {
+    long end = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000;
+    while (which.stream().anyMatch(agent -> agent.permits < permits)) {
+      assertTrue(System.nanoTime() < end, "permits " + which.stream().map(a -> a.permits).toList());
       which.forEach(Agent::step);
       Thread.sleep(2);
     }
@@ -147,17 +147,17 @@
    * pacing.
    */
   @Test
-  void loadsOverlapOnlyOnceTheHolderIsGone() throws InterruptedException {
+  void loadsOverlapOnlyAfterHolderIsGone() throws InterruptedException {
     for (int i = 0; i < 3; i++) {
       agents.add(new Agent("lm-dispatch-" + i));
     }
     runUntilEachHas(5, agents);
-    assertEquals(1, mostAtOnce.get());
+    assertEquals(1, maxConcurrentLoads.get());
     Agent gone = holder();
     gone.server.stop();
     gone.exchange.stop();
     List<Agent> rest = agents.stream().filter(agent -> agent != gone).toList();
-    int before = rest.stream().mapToInt(agent -> agent.turns).max().orElseThrow();
+    int before = rest.stream().mapToInt(agent -> agent.permits).max().orElseThrow();
     runUntilEachHas(before + 3, rest);
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/companion/EngineIdentityTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/companion/EngineIncarnationTrackerTest.java
@@ -7,27 +7,27 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.hornbeamusher.companion.EngineIdentity.Verdict;
+import org.hornbeamusher.companion.EngineIncarnationTracker.Verdict;
 import org.hornbeamusher.holdings.EngineReport;
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.ids.EndpointLife;
 import org.junit.jupiter.api.Test;
 
-class EngineIdentityTest {
+class EngineIncarnationTrackerTest {
 
   private static final EndpointId ID = new EndpointId("e");
 
-  private final EngineIdentity identity = new EngineIdentity();
+  private final EngineIncarnationTracker tracker = new EngineIncarnationTracker();
 
   @Test
-  void idIsAskedForOnceInEachLife() {
+  void idIsRequestedOncePerIncarnation() {
     assertEquals(Verdict.UNNAMED, report(100, 3));
-    assertTrue(identity.needsName());
-    identity.named(ID);
-    assertFalse(identity.needsName());
+    assertTrue(tracker.needsId());
+    tracker.idReceived(ID);
+    assertFalse(tracker.needsId());
     assertEquals(Verdict.NAMED, report(100, 3));
     assertEquals(Verdict.SAME, report(100, 4));
-    assertEquals(Optional.of(new EndpointLife(ID, 100)), identity.current());
+    assertEquals(Optional.of(new EndpointLife(ID, 100)), tracker.current());
   }
 
   /**
@@ -35,13 +35,13 @@
    * The request is a health check that is billed and waits for a batch slot behind the requests.
    */
   @Test
-  void engineThatWasSilentIsKnownByItsStart() {
-    known(100);
-    identity.lost();
-    assertEquals(Optional.empty(), identity.current());
+  void sameStartAfterOutageIsSameIncarnation() {
+    identify(100);
+    tracker.markUnreachable();
+    assertEquals(Optional.empty(), tracker.current());
     assertEquals(Verdict.SAME, report(100, 3));
-    assertFalse(identity.needsName());
-    assertEquals(Optional.of(new EndpointLife(ID, 100)), identity.current());
+    assertFalse(tracker.needsId());
+    assertEquals(Optional.of(new EndpointLife(ID, 100)), tracker.current());
   }
 
   /**
@@ -49,21 +49,21 @@
    * zero in both incarnations. Only the start time shows the restart.
    */
   @Test
-  void anotherStartIsAnotherLife() {
-    known(100);
+  void differentStartIsNewIncarnation() {
+    identify(100);
     assertEquals(Verdict.RESTARTED, report(200, 0));
-    assertEquals(Optional.empty(), identity.current());
-    assertTrue(identity.needsName());
+    assertEquals(Optional.empty(), tracker.current());
+    assertTrue(tracker.needsId());
   }
 
   /** The clock of the instance was set back before the engine restarted. */
   @Test
-  void earlierStartIsAnotherLifeToo() {
-    known(100);
+  void earlierStartIsNewIncarnation() {
+    identify(100);
     assertEquals(Verdict.RESTARTED, report(50, 0));
-    identity.named(ID);
+    tracker.idReceived(ID);
     assertEquals(Verdict.NAMED, report(50, 0));
-    assertEquals(Optional.of(new EndpointLife(ID, 50)), identity.current());
+    assertEquals(Optional.of(new EndpointLife(ID, 50)), tracker.current());
   }
 
   /**
@@ -71,52 +71,52 @@
    * engine restarts under another id between a report and the request for its id.
    */
   @Test
-  void idThatWasGivenInBetweenLivesIsAskedForAgain() {
+  void idReceivedDuringRestartIsRequestedAgain() {
     report(100, 3);
-    identity.named(ID);
+    tracker.idReceived(ID);
     assertEquals(Verdict.UNNAMED, report(200, 0));
-    assertTrue(identity.needsName());
-    identity.named(new EndpointId("other"));
+    assertTrue(tracker.needsId());
+    tracker.idReceived(new EndpointId("other"));
     assertEquals(Verdict.NAMED, report(200, 0));
-    assertEquals(new EndpointId("other"), identity.current().orElseThrow().id());
+    assertEquals(new EndpointId("other"), tracker.current().orElseThrow().id());
   }
 
   /** An engine that states no start time: only its count of orders shows the restart. */
   @Test
-  void countOfOrdersThatGoesBackShowsAnotherLife() {
+  void decreasedOrderCountIsNewIncarnation() {
     report(EndpointLife.UNKNOWN_START, 3);
-    identity.named(ID);
+    tracker.idReceived(ID);
     report(EndpointLife.UNKNOWN_START, 3);
     assertEquals(Verdict.COUNT_RESET, report(EndpointLife.UNKNOWN_START, 0));
-    assertTrue(identity.needsName());
+    assertTrue(tracker.needsId());
   }
 
   /** An engine without a start time may have restarted while it was unreachable. */
   @Test
-  void silenceWithoutStartMayHideAnotherLife() {
+  void outageWithoutStartTimeRequiresIdRequest() {
     report(EndpointLife.UNKNOWN_START, 0);
-    identity.named(ID);
+    tracker.idReceived(ID);
     report(EndpointLife.UNKNOWN_START, 0);
-    identity.lost();
+    tracker.markUnreachable();
     assertEquals(Verdict.UNNAMED, report(EndpointLife.UNKNOWN_START, 0));
   }
 
   /** The engine refuses an order because it has another id, under the same start time. */
   @Test
-  void refutedIdIsAskedForAgain() {
-    known(100);
-    identity.refuted();
+  void refutedIdIsRequestedAgain() {
+    identify(100);
+    tracker.idRefuted();
     assertEquals(Verdict.UNNAMED, report(100, 0));
   }
 
-  private void known(long start) {
+  private void identify(long start) {
     report(start, 0);
-    identity.named(ID);
+    tracker.idReceived(ID);
     report(start, 0);
   }
 
   private Verdict report(long start, long sequence) {
-    return identity.reported(
+    return tracker.recordReport(
         new EngineReport(Set.of(), Map.of(), Set.of(), false, sequence, false, start));
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/companion/EngineRestartTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/companion/EngineRestartTest.java
@@ -61,7 +61,7 @@
   @AfterEach
   void stop() {
     agent.stop();
-    pass(STEP_MILLIS);
+    advance(STEP_MILLIS);
   }
 
   /**
@@ -70,13 +70,13 @@
    * be ordered to load once, based on its own report.
    */
   @Test
-  void loadIsOrderedAgainInTheNextLife() {
-    pass(500);
+  void loadIsOrderedAgainAfterRestart() {
+    advance(500);
     assertEquals(1, engine.accepted.size());
     engine.restart(50);
-    pass(1_000);
+    advance(1_000);
     assertEquals(2, engine.accepted.size());
-    assertEquals(2, engine.asked);
+    assertEquals(2, engine.idRequests);
   }
 
   /**
@@ -84,10 +84,10 @@
    * its id and its count of orders match those in the order. Only the fencing number differs.
    */
   @Test
-  void ordersOfTheNextLifeHaveHigherFencingNumbers() {
-    pass(500);
+  void ordersAfterRestartHaveHigherFencingNumbers() {
+    advance(500);
     engine.restart(200);
-    pass(1_000);
+    advance(1_000);
     assertTrue(engine.accepted.get(1) > engine.accepted.get(0), engine.accepted.toString());
   }
 
@@ -96,16 +96,16 @@
    * higher number, which is written to the table when it is available again.
    */
   @Test
-  void nextLifeIsOrderedWhileTheTableIsAway() {
-    pass(500);
+  void loadIsOrderedAfterRestartWhileTableIsDown() {
+    advance(500);
     table.down(true);
     engine.restart(200);
-    pass(1_000);
+    advance(1_000);
     assertEquals(2, engine.accepted.size());
     long used = engine.accepted.get(1);
     assertTrue(used > engine.accepted.get(0));
     table.down(false);
-    pass(5_000);
+    advance(5_000);
     assertTrue(new FencingLease(table, ID, "agent-2").acquire(0).join().value() > used);
   }
 
@@ -114,26 +114,26 @@
    * with the previous incarnation, and the load must be ordered again.
    */
   @Test
-  void answerOfTheFormerLifeCountsForNothing() {
-    engine.holdAnswers = true;
-    pass(500);
+  void resultOfPreviousIncarnationIsIgnored() {
+    engine.delayResults = true;
+    advance(500);
     assertEquals(1, engine.accepted.size());
     engine.restart(200);
-    engine.holdAnswers = false;
-    engine.heldAnswers.forEach(answer -> answer.complete(OrderAnswer.ACCEPTED));
-    pass(1_000);
+    engine.delayResults = false;
+    engine.delayedResults.forEach(result -> result.complete(OrderAnswer.ACCEPTED));
+    advance(1_000);
     assertEquals(2, engine.accepted.size());
   }
 
   /** The engine restarts twice between two reports; the agent handles this as one restart. */
   @Test
-  void twoStartsBetweenTwoReportsAreOne() {
-    pass(500);
+  void twoRestartsBetweenReportsCountAsOne() {
+    advance(500);
     engine.restart(200);
     engine.restart(20);
-    pass(1_000);
+    advance(1_000);
     assertEquals(2, engine.accepted.size());
-    assertEquals(2, engine.asked);
+    assertEquals(2, engine.idRequests);
   }
 
   /**
@@ -141,43 +141,43 @@
    * not be asked for its id or ordered to load again.
    */
   @Test
-  void silenceIsNoRestart() {
-    pass(500);
+  void outageIsNoRestart() {
+    advance(500);
     engine.finishLoad();
-    engine.silent = true;
-    pass(3_000);
-    engine.silent = false;
-    pass(1_000);
+    engine.unreachable = true;
+    advance(3_000);
+    engine.unreachable = false;
+    advance(1_000);
     assertEquals(1, engine.accepted.size());
-    assertEquals(1, engine.asked);
+    assertEquals(1, engine.idRequests);
   }
 
   /** The engine restarts while the agent cannot reach it. */
   @Test
-  void restartBehindSilenceIsNoticed() {
-    pass(500);
-    engine.silent = true;
-    pass(3_000);
+  void restartDuringOutageIsDetected() {
+    advance(500);
+    engine.unreachable = true;
+    advance(3_000);
     engine.restart(50);
-    engine.silent = false;
-    pass(1_000);
+    engine.unreachable = false;
+    advance(1_000);
     assertEquals(2, engine.accepted.size());
-    assertEquals(2, engine.asked);
+    assertEquals(2, engine.idRequests);
   }
 
   /** The engine restarts while it drains, and takes work again. */
   @Test
-  void nextLifeOfDrainingEngineIsOrdered() {
-    pass(500);
+  void drainingEngineIsOrderedAfterRestart() {
+    advance(500);
     engine.finishLoad();
     engine.leaving = true;
-    pass(500);
+    advance(500);
     engine.restart(200);
-    pass(1_000);
+    advance(1_000);
     assertEquals(2, engine.accepted.size());
   }
 
-  private void pass(long millis) {
+  private void advance(long millis) {
     for (long passed = 0; passed < millis; passed += STEP_MILLIS) {
       loop.runDue();
       clock.advance(STEP_MILLIS);
@@ -188,11 +188,11 @@
   private static final class Engine implements EngineCalls {
 
     private final List<Long> accepted = new ArrayList<>();
-    private final List<CompletableFuture<OrderAnswer>> heldAnswers = new ArrayList<>();
-    private boolean holdAnswers;
-    private boolean silent;
+    private final List<CompletableFuture<OrderAnswer>> delayedResults = new ArrayList<>();
+    private boolean delayResults;
+    private boolean unreachable;
     private boolean leaving;
-    private int asked;
+    private int idRequests;
     private long start = 100;
     private long sequence;
     private boolean busy;
@@ -213,7 +213,7 @@
 
     @Override
     public CompletableFuture<EngineReport> report() {
-      return silent
+      return unreachable
           ? unreachable()
           : CompletableFuture.completedFuture(
               new EngineReport(models, Map.of(), Set.of(), busy, sequence, leaving, start));
@@ -221,26 +221,26 @@
 
     @Override
     public CompletableFuture<EndpointId> id() {
-      asked++;
-      return silent ? unreachable() : CompletableFuture.completedFuture(ID);
+      idRequests++;
+      return unreachable ? unreachable() : CompletableFuture.completedFuture(ID);
     }
 
     @Override
     public CompletableFuture<OrderAnswer> order(
-        EngineOrder order, EndpointId engine, long expected, FencingNumber fencing) {
-      if (expected != sequence) {
+        EngineOrder order, EndpointId engine, long expectedSequence, FencingNumber fencing) {
+      if (expectedSequence != sequence) {
         return CompletableFuture.completedFuture(OrderAnswer.CONFLICT);
       }
       sequence++;
       busy = true;
       accepted.add(fencing.value());
-      CompletableFuture<OrderAnswer> answer = new CompletableFuture<>();
-      if (holdAnswers) {
-        heldAnswers.add(answer);
+      CompletableFuture<OrderAnswer> result = new CompletableFuture<>();
+      if (delayResults) {
+        delayedResults.add(result);
       } else {
-        answer.complete(OrderAnswer.ACCEPTED);
+        result.complete(OrderAnswer.ACCEPTED);
       }
-      return answer;
+      return result;
     }
 
     private static <T> CompletableFuture<T> unreachable() {
@@ -274,7 +274,7 @@
   private final class Loop implements EventLoop {
 
     private final Queue<Runnable> ready = new ArrayDeque<>();
-    private final List<Later> later = new ArrayList<>();
+    private final List<ScheduledTask> scheduled = new ArrayList<>();
 
     @Override
     public void execute(Runnable task) {
@@ -283,20 +283,21 @@
 
     @Override
     public Timer after(long delayMillis, Runnable task) {
-      Later timer = new Later(clock.millis() + delayMillis, task);
-      later.add(timer);
-      return () -> later.remove(timer);
+      ScheduledTask timer = new ScheduledTask(clock.millis() + delayMillis, task);
+      scheduled.add(timer);
+      return () -> scheduled.remove(timer);
     }
 
     void runDue() {
-      List<Later> due = later.stream().filter(one -> one.atMillis <= clock.millis()).toList();
-      later.removeAll(due);
+      List<ScheduledTask> due =
+          scheduled.stream().filter(one -> one.atMillis <= clock.millis()).toList();
+      scheduled.removeAll(due);
       due.forEach(one -> ready.add(one.task));
       for (Runnable task = ready.poll(); task != null; task = ready.poll()) {
         task.run();
       }
     }
 
-    private record Later(long atMillis, Runnable task) {}
+    private record ScheduledTask(long atMillis, Runnable task) {}
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/holdings/AdapterPlacesTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/holdings/AdapterSlotsTest.java
@@ -19,31 +19,31 @@
 import org.hornbeamusher.routes.VersionsInForce;
 import org.junit.jupiter.api.Test;
 
-class AdapterPlacesTest {
+class AdapterSlotsTest {
 
   private static final List<String> MODELS = List.of("m");
-  private static final long SETTLED = AdapterPlaces.SETTLE_MILLIS;
-  private static final long PATIENCE = 60_000;
+  private static final long AFTER_STARTUP_GRACE = AdapterSlots.STARTUP_GRACE_MILLIS;
+  private static final long WAIT_MILLIS = 60_000;
 
   private final VersionsInForce versions = new VersionsInForce();
-  private final AdapterPlaces places = new AdapterPlaces(2, versions, 0);
+  private final AdapterSlots adapterSlots = new AdapterSlots(2, versions, 0);
   private long sequence;
 
   @Test
-  void wantedAdapterIsLoadedIntoFreePlace() {
+  void wantedAdapterIsLoadedIntoFreeSlot() {
     report(Map.of());
     reserve(1, "a", 1, 0);
     assertEquals(load("a"), order(0));
   }
 
   @Test
-  void nothingIsOrderedWhileAnOrderHasNoAnswer() {
+  void nothingIsOrderedWhileResultIsOutstanding() {
     report(Map.of());
     reserve(1, "a", 1, 0);
     reserve(2, "b", 1, 0);
     order(0);
     assertEquals(Optional.empty(), order(0));
-    places.answered(OrderAnswer.ACCEPTED);
+    adapterSlots.orderCompleted(OrderAnswer.ACCEPTED);
     report(Map.of("a", 1L));
     assertEquals(load("b"), order(0));
   }
@@ -54,18 +54,18 @@
    * be loaded any more.
    */
   @Test
-  void laterLifeHasAllItsPlaces() {
+  void restartFreesAllSlots() {
     report(Map.of("a", 1L));
     reserve(1, "a", 1, 0);
-    places.takeGrants();
+    adapterSlots.takeGrants();
     reserve(2, "b", 1, 0);
     assertEquals(load("b"), order(0));
-    places.restarted();
-    assertEquals(Set.of(), places.held());
-    assertEquals(Set.of(), places.coming());
-    assertEquals(0, places.loads(0).others(99).requests());
+    adapterSlots.engineRestarted();
+    assertEquals(Set.of(), adapterSlots.held());
+    assertEquals(Set.of(), adapterSlots.loading());
+    assertEquals(0, adapterSlots.workloads(0).fromOthers(99).requests());
     report(Map.of());
-    assertEquals(2, places.sparePlaces(0));
+    assertEquals(2, adapterSlots.spareSlots(0));
     reserve(3, "c", 1, 0);
     assertEquals(load("c"), order(0));
   }
@@ -76,12 +76,12 @@
    * executed.
    */
   @Test
-  void laterLifeGrantsNothingThatWaitedForTheFormerOne() {
+  void restartDropsWaitingReservations() {
     report(Map.of());
     reserve(1, "a", 1, 0);
-    places.restarted();
+    adapterSlots.engineRestarted();
     report(Map.of("a", 1L));
-    assertEquals(List.of(), places.takeGrants());
+    assertEquals(List.of(), adapterSlots.takeGrants());
   }
 
   /**
@@ -90,37 +90,37 @@
    * crash it.
    */
   @Test
-  void loadThatNoReportShowsYetTakesItsPlace() {
+  void unreportedLoadOccupiesSlot() {
     report(Map.of("used", 1L));
     reserve(1, "used", 1, 0);
-    places.takeGrants();
+    adapterSlots.takeGrants();
     reserve(2, "a", 1, 0);
     reserve(3, "b", 1, 0);
     assertEquals(load("a"), order(0));
-    places.answered(OrderAnswer.ACCEPTED);
-    assertEquals(Optional.empty(), order(SETTLED));
+    adapterSlots.orderCompleted(OrderAnswer.ACCEPTED);
+    assertEquals(Optional.empty(), order(AFTER_STARTUP_GRACE));
   }
 
   @Test
-  void reservationIsGrantedOnceWhenItsAdapterIsThere() {
+  void reservationIsGrantedOnceWhenAdapterIsLoaded() {
     report(Map.of());
     reserve(1, "a", 1, 0);
-    assertEquals(List.of(), places.takeGrants());
+    assertEquals(List.of(), adapterSlots.takeGrants());
     report(Map.of("a", 1L));
-    assertEquals(List.of(id(1)), places.takeGrants());
-    assertEquals(List.of(), places.takeGrants());
+    assertEquals(List.of(id(1)), adapterSlots.takeGrants());
+    assertEquals(List.of(), adapterSlots.takeGrants());
   }
 
   @Test
   void unusedAdapterIsWithdrawnBeforeItIsUnloaded() {
     report(Map.of("a", 1L, "b", 1L));
     reserve(1, "a", 1, 0);
-    places.takeGrants();
-    reserve(2, "c", 1, SETTLED);
-    assertEquals(Optional.empty(), order(SETTLED));
-    assertFalse(places.held().contains(held("b", 1)));
-    assertEquals(Optional.empty(), order(SETTLED + AdapterPlaces.WITHDRAW_MILLIS - 1));
-    assertEquals(unload("b"), order(SETTLED + AdapterPlaces.WITHDRAW_MILLIS));
+    adapterSlots.takeGrants();
+    reserve(2, "c", 1, AFTER_STARTUP_GRACE);
+    assertEquals(Optional.empty(), order(AFTER_STARTUP_GRACE));
+    assertFalse(adapterSlots.held().contains(held("b", 1)));
+    assertEquals(Optional.empty(), order(AFTER_STARTUP_GRACE + AdapterSlots.WITHDRAWAL_MILLIS - 1));
+    assertEquals(unload("b"), order(AFTER_STARTUP_GRACE + AdapterSlots.WITHDRAWAL_MILLIS));
   }
 
   /**
@@ -128,16 +128,16 @@
    * engine would refuse the request and it would have to be sent again.
    */
   @Test
-  void reservationTakesWithdrawalBack() {
+  void reservationCancelsWithdrawal() {
     report(Map.of("a", 1L, "b", 1L));
     reserve(1, "a", 1, 0);
-    places.takeGrants();
-    reserve(2, "c", 1, SETTLED);
-    order(SETTLED);
-    reserve(3, "b", 1, SETTLED + 5);
-    places.takeGrants();
-    assertTrue(places.held().contains(held("b", 1)));
-    assertEquals(Optional.empty(), order(SETTLED + 1_000));
+    adapterSlots.takeGrants();
+    reserve(2, "c", 1, AFTER_STARTUP_GRACE);
+    order(AFTER_STARTUP_GRACE);
+    reserve(3, "b", 1, AFTER_STARTUP_GRACE + 5);
+    adapterSlots.takeGrants();
+    assertTrue(adapterSlots.held().contains(held("b", 1)));
+    assertEquals(Optional.empty(), order(AFTER_STARTUP_GRACE + 1_000));
   }
 
   /**
@@ -145,17 +145,17 @@
    * the engine and all its requests.
    */
   @Test
-  void fullPlacesInUseAreLeftAlone() {
+  void nothingIsOrderedWhileAllSlotsAreInUse() {
     report(Map.of("a", 1L, "b", 1L));
     reserve(1, "a", 1, 0);
     reserve(2, "b", 1, 0);
-    places.takeGrants();
-    reserve(3, "c", 1, SETTLED);
-    assertEquals(Optional.empty(), order(SETTLED + 1_000));
-    assertEquals(-1, places.sparePlaces(SETTLED + 1_000));
-    places.release(id(1));
-    order(SETTLED + 1_000);
-    assertEquals(unload("a"), order(SETTLED + 1_100));
+    adapterSlots.takeGrants();
+    reserve(3, "c", 1, AFTER_STARTUP_GRACE);
+    assertEquals(Optional.empty(), order(AFTER_STARTUP_GRACE + 1_000));
+    assertEquals(-1, adapterSlots.spareSlots(AFTER_STARTUP_GRACE + 1_000));
+    adapterSlots.release(id(1));
+    order(AFTER_STARTUP_GRACE + 1_000);
+    assertEquals(unload("a"), order(AFTER_STARTUP_GRACE + 1_100));
   }
 
   /**
@@ -163,48 +163,48 @@
    * occupies it for seconds, which makes the next request late that could have been on time.
    */
   @Test
-  void lateRequestLeavesTheLastPlaceToTimelyOnes() {
-    fillWithTimelyWaiting();
-    reserve(4, "d", 1, SETTLED, 0);
-    places.release(id(3));
-    places.release(id(1));
-    assertEquals(Optional.empty(), orderAfterWithdrawal(SETTLED + 100));
-    reserve(5, "e", 1, SETTLED + 200, 800);
-    assertEquals(unload("a"), orderAfterWithdrawal(SETTLED + 200));
+  void lateRequestDoesNotTakeLastSlot() {
+    occupySlotsWhileOnTimeRequestWaits();
+    reserve(4, "d", 1, AFTER_STARTUP_GRACE, 0);
+    adapterSlots.release(id(3));
+    adapterSlots.release(id(1));
+    assertEquals(Optional.empty(), orderAfterWithdrawal(AFTER_STARTUP_GRACE + 100));
+    reserve(5, "e", 1, AFTER_STARTUP_GRACE + 200, 800);
+    assertEquals(unload("a"), orderAfterWithdrawal(AFTER_STARTUP_GRACE + 200));
   }
 
   /** No on-time request has waited for three seconds, so the late request gets the slot. */
   @Test
-  void lateRequestIsServedWhenNobodyTimelyWaits() {
-    fillWithTimelyWaiting();
-    reserve(4, "d", 1, SETTLED, 0);
-    places.release(id(3));
-    places.release(id(1));
-    assertEquals(unload("a"), orderAfterWithdrawal(SETTLED + 3_000));
+  void lateRequestIsServedWhenNoOnTimeRequestWaits() {
+    occupySlotsWhileOnTimeRequestWaits();
+    reserve(4, "d", 1, AFTER_STARTUP_GRACE, 0);
+    adapterSlots.release(id(3));
+    adapterSlots.release(id(1));
+    assertEquals(unload("a"), orderAfterWithdrawal(AFTER_STARTUP_GRACE + 3_000));
   }
 
-  private void fillWithTimelyWaiting() {
+  private void occupySlotsWhileOnTimeRequestWaits() {
     report(Map.of("a", 1L, "b", 1L));
     reserve(1, "a", 1, 0);
     reserve(2, "b", 1, 0);
-    places.takeGrants();
-    reserve(3, "c", 1, SETTLED, 800);
-    assertEquals(Optional.empty(), order(SETTLED));
+    adapterSlots.takeGrants();
+    reserve(3, "c", 1, AFTER_STARTUP_GRACE, 800);
+    assertEquals(Optional.empty(), order(AFTER_STARTUP_GRACE));
   }
 
   /** Withdraws an unused adapter with the first call and returns the order of the second. */
   private Optional<EngineOrder> orderAfterWithdrawal(long now) {
     order(now);
-    return order(now + AdapterPlaces.WITHDRAW_MILLIS);
+    return order(now + AdapterSlots.WITHDRAWAL_MILLIS);
   }
 
   /** After an agent's restart the entries' reservations are still in transit. */
   @Test
-  void nothingIsUnloadedRightAfterTheStart() {
+  void nothingIsUnloadedDuringStartupGrace() {
     report(Map.of("a", 1L, "b", 1L));
     reserve(1, "c", 1, 0);
-    assertEquals(Optional.empty(), order(SETTLED - 1));
-    assertTrue(places.held().contains(held("a", 1)));
+    assertEquals(Optional.empty(), order(AFTER_STARTUP_GRACE - 1));
+    assertTrue(adapterSlots.held().contains(held("a", 1)));
   }
 
   /**
@@ -212,12 +212,12 @@
    * the load seconds later. The next report decides.
    */
   @Test
-  void loadWithoutAnswerIsDecidedAgainOnTheNextReport() {
+  void loadWithUnknownResultIsOrderedAgainAfterReport() {
     report(Map.of("a", 1L));
     reserve(1, "b", 1, 0);
     assertEquals(load("b"), order(0));
-    places.answered(OrderAnswer.UNKNOWN);
-    assertTrue(places.coming().contains(held("b", 1)));
+    adapterSlots.orderCompleted(OrderAnswer.UNKNOWN);
+    assertTrue(adapterSlots.loading().contains(held("b", 1)));
     report(Map.of("a", 1L));
     assertEquals(load("b"), order(10));
   }
@@ -226,29 +226,31 @@
   void olderVersionIsNotHeldAndIsReplacedWhenUnused() {
     report(Map.of("a", 1L));
     reserve(1, "a", 1, 0);
-    places.takeGrants();
+    adapterSlots.takeGrants();
     versions.offer(key("a"), 2);
-    assertFalse(places.held().contains(held("a", 1)));
+    assertFalse(adapterSlots.held().contains(held("a", 1)));
     reserve(2, "a", 2, 0);
-    assertEquals(List.of(), places.takeGrants());
+    assertEquals(List.of(), adapterSlots.takeGrants());
     assertEquals(Optional.empty(), order(0));
-    places.release(id(1));
+    adapterSlots.release(id(1));
     assertEquals(load("a"), order(0));
-    places.answered(OrderAnswer.ACCEPTED);
+    adapterSlots.orderCompleted(OrderAnswer.ACCEPTED);
     report(Map.of("a", 2L));
-    assertEquals(List.of(id(2)), places.takeGrants());
+    assertEquals(List.of(id(2)), adapterSlots.takeGrants());
   }
 
   @Test
   void engineWithoutModelLoadsItFirst() {
-    places.reported(new EngineReport(Set.of(), Map.of(), Set.of(), false, 0, false, 0), 0);
+    adapterSlots.recordReport(
+        new EngineReport(Set.of(), Map.of(), Set.of(), false, 0, false, 0), 0);
     reserve(1, "a", 1, 0);
     assertEquals(Optional.of(new EngineOrder.Load(new AdapterKey("m", ""))), order(0));
   }
 
   @Test
-  void leavingEngineIsOrderedNothing() {
-    places.reported(new EngineReport(Set.of("m"), Map.of(), Set.of(), false, 0, true, 0), 0);
+  void drainingEngineIsOrderedNothing() {
+    adapterSlots.recordReport(
+        new EngineReport(Set.of("m"), Map.of(), Set.of(), false, 0, true, 0), 0);
     reserve(1, "a", 1, 0);
     assertEquals(Optional.empty(), order(0));
   }
@@ -258,28 +260,28 @@
    * again with its first report.
    */
   @Test
-  void restartForgetsWhatWasHeld() {
+  void unreachableEngineHoldsNothing() {
     report(Map.of("a", 1L));
-    places.lost();
-    assertEquals(Set.of(), places.held());
+    adapterSlots.engineUnreachable();
+    assertEquals(Set.of(), adapterSlots.held());
     reserve(1, "a", 1, 0);
     report(Map.of());
     assertEquals(load("a"), order(0));
   }
 
   @Test
-  void lostEntryFreesWhatItReserved() {
+  void lostEntryReleasesItsReservations() {
     report(Map.of("a", 1L, "b", 1L));
     reserve(1, "a", 1, 0);
-    places.takeGrants();
-    places.releaseAll(7);
-    assertEquals(0, places.loads(0).others(0).requests());
-    assertEquals(2, places.sparePlaces(SETTLED));
+    adapterSlots.takeGrants();
+    adapterSlots.releaseAll(7);
+    assertEquals(0, adapterSlots.workloads(0).fromOthers(0).requests());
+    assertEquals(2, adapterSlots.spareSlots(AFTER_STARTUP_GRACE));
   }
 
   /** A late request must not take the slot of a request that can still meet its target time. */
   @Test
-  void requestThatCanBeInTimeComesBeforeLateOne() {
+  void onTimeRequestPrecedesLateOne() {
     report(Map.of());
     reserve(1, "late", 1, 0, 100);
     reserve(2, "hopeful", 1, 0, 900);
@@ -302,7 +304,7 @@
 
   /** The requests for the popular adapter are late in any case, the single request is not. */
   @Test
-  void callerWhoCanBeInTimeComesBeforeManyWhoCannot() {
+  void oneOnTimeRequestPrecedesManyLateOnes() {
     report(Map.of());
     reserve(1, "popular", 1, 0, 100);
     reserve(2, "popular", 1, 0, 100);
@@ -311,13 +313,13 @@
   }
 
   @Test
-  void otherEntriesLoadLeavesOutOnesOwn() {
+  void workloadFromOthersExcludesOwnRequests() {
     report(Map.of("a", 1L));
     reserve(1, "a", 1, 0);
-    assertEquals(0, places.loads(0).others(7).unreadTokens());
-    assertEquals(100, places.loads(0).others(8).unreadTokens());
-    places.promptRead(id(1));
-    assertEquals(0, places.loads(0).others(8).unreadTokens());
+    assertEquals(0, adapterSlots.workloads(0).fromOthers(7).pendingPromptTokens());
+    assertEquals(100, adapterSlots.workloads(0).fromOthers(8).pendingPromptTokens());
+    adapterSlots.promptProcessed(id(1));
+    assertEquals(0, adapterSlots.workloads(0).fromOthers(8).pendingPromptTokens());
   }
 
   /**
@@ -325,37 +327,37 @@
    * which must never be ordered to load more adapters than it has slots.
    */
   @Property(tries = 300, seed = "4711")
-  void engineIsNeverOrderedBeyondItsPlaces(
+  void ordersNeverExceedSlots(
       @ForAll @Size(min = 20, max = 120) List<@IntRange(max = 99) Integer> steps) {
-    AdapterPlaces drawn = new AdapterPlaces(3, new VersionsInForce(), 0);
+    AdapterSlots tested = new AdapterSlots(3, new VersionsInForce(), 0);
     Map<AdapterKey, Long> engine = new HashMap<>();
     Map<Long, AdapterKey> running = new TreeMap<>();
-    drawn.reported(engineReport(engine, 0), 0);
-    long now = SETTLED;
+    tested.recordReport(engineReport(engine, 0), 0);
+    long now = AFTER_STARTUP_GRACE;
     long next = 0;
     for (int step : steps) {
       now += 15;
       if (step < 45) {
         AdapterKey wanted = key("a" + step % 8);
         long number = ++next;
-        drawn.reserve(reservation(number, new HeldAdapter(wanted, 1), now, 500), now);
+        tested.reserve(reservation(number, new HeldAdapter(wanted, 1), now, 500), now);
         running.put(number, wanted);
       } else if (step < 75 && !running.isEmpty()) {
         long first = running.keySet().iterator().next();
         running.remove(first);
-        drawn.release(id(first));
+        tested.release(id(first));
       }
-      drawn.takeGrants();
-      Optional<EngineOrder> order = drawn.nextOrder(MODELS, now);
+      tested.takeGrants();
+      Optional<EngineOrder> order = tested.nextOrder(MODELS, now);
       if (order.isPresent()) {
         boolean lost = step >= 90;
         if (!lost || step % 2 == 0) {
           carryOut(order.get(), engine);
         }
-        drawn.answered(lost ? OrderAnswer.UNKNOWN : OrderAnswer.ACCEPTED);
-        drawn.reported(engineReport(engine, now), now);
+        tested.orderCompleted(lost ? OrderAnswer.UNKNOWN : OrderAnswer.ACCEPTED);
+        tested.recordReport(engineReport(engine, now), now);
       }
-      assertTrue(engine.size() <= 3, "places");
+      assertTrue(engine.size() <= 3, "more adapters than slots");
     }
   }
 
@@ -373,24 +375,24 @@
   private void report(Map<String, Long> adapters) {
     Map<AdapterKey, Long> held = new HashMap<>();
     adapters.forEach((name, version) -> held.put(key(name), version));
-    places.reported(engineReport(held, ++sequence), 0);
+    adapterSlots.recordReport(engineReport(held, ++sequence), 0);
   }
 
   private void reserve(long number, String adapter, long version, long now) {
     reserve(number, adapter, version, now, 800);
   }
 
-  private void reserve(long number, String adapter, long version, long now, long aim) {
-    places.reserve(reservation(number, held(adapter, version), now, aim), now);
+  private void reserve(long number, String adapter, long version, long now, long targetMillis) {
+    adapterSlots.reserve(reservation(number, held(adapter, version), now, targetMillis), now);
   }
 
   private static Reservation reservation(
-      long number, HeldAdapter adapter, long now, long aimMillis) {
-    return new Reservation(id(number), adapter, 0, 100, now + PATIENCE, now + aimMillis);
+      long number, HeldAdapter adapter, long now, long targetMillis) {
+    return new Reservation(id(number), adapter, 0, 100, now + WAIT_MILLIS, now + targetMillis);
   }
 
   private Optional<EngineOrder> order(long now) {
-    return places.nextOrder(MODELS, now);
+    return adapterSlots.nextOrder(MODELS, now);
   }
 
   private static Optional<EngineOrder> load(String adapter) {
