--- a/runtime/src/main/java/org/hornbeamusher/forwarding/AccountCheck.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/AccountCheck.java
@@ -10,15 +10,16 @@
 import org.hornbeamusher.routes.Route;
 
 /**
- * Decides whom a request is run for.
+ * Finds the client account of a request by its API key.
  *
- * <p>A key may have been taken away while this entry could not see it. A keyed request is therefore
- * served only while the proof that the configuration in force is the newest one is younger than the
- * bound for revocations, on arrival and again before each send. Beyond it the request is refused at
- * once and may be sent to another entry.
+ * <p>A key may have been revoked while this entry could not read the configuration. A request with
+ * a key is therefore served only if the current configuration was confirmed as the newest more
+ * recently than the revocation bound allows. This is checked on arrival and again before each send.
+ * Past the bound the request is refused at once and may be sent to another entry.
  *
- * <p>The other way round, a key that is not known here may be newer than what this entry knows. It
- * is refused for good only while the proof is as young as a change may take to be in force.
+ * <p>Conversely, a key that is unknown here may be newer than the current configuration. It is
+ * rejected permanently only if the last confirmation is no older than the time that a change may
+ * take to take effect.
  */
 final class AccountCheck {
 
@@ -31,24 +32,25 @@
   }
 
   /**
-   * Finds the account of a request that has just arrived; empty where callers need no key.
+   * Finds the account of a request that has just arrived; empty if no key is required.
    *
-   * @throws HornbeamusherException when the request may not run
+   * @throws HornbeamusherException if the request is refused
    */
-  Optional<ClientAccount> identify(Configuration configuration, Route route, RequestFacts facts) {
+  Optional<ClientAccount> identify(
+      Configuration configuration, Route route, RequestFacts metadata) {
     if (!configuration.accounts().required() || route.anonymous()) {
       return Optional.empty();
     }
     if (!confirmed()) {
       throw HornbeamusherException.notRun(FailureType.KEY_UNCONFIRMED);
     }
-    if (facts.emptyKey() || facts.keys().size() > 1) {
-      throw denied(FailureType.KEY_MALFORMED, facts.keys().size());
+    if (metadata.emptyKey() || metadata.keys().size() > 1) {
+      throw denied(FailureType.KEY_MALFORMED, metadata.keys().size());
     }
-    if (facts.keys().isEmpty()) {
+    if (metadata.keys().isEmpty()) {
       throw denied(FailureType.KEY_MISSING);
     }
-    Optional<ClientAccount> holder = configuration.accounts().holder(facts.keys().get(0));
+    Optional<ClientAccount> holder = configuration.accounts().holder(metadata.keys().get(0));
     if (holder.isEmpty()) {
       throw denied(FailureType.KEY_UNKNOWN);
     }
@@ -56,10 +58,10 @@
   }
 
   /**
-   * Checks again, before a send, a request that has waited.
+   * Checks the key of a request again before it is sent.
    *
-   * @param configuration what is in force now
-   * @return why it may not be sent; empty when it may
+   * @param configuration the current configuration
+   * @return why it may not be sent; empty if it may be sent
    */
   Optional<HornbeamusherException> refusal(Configuration configuration, RoutedRequest request) {
     if (request.account().isEmpty()) {
@@ -71,7 +73,7 @@
     boolean held =
         configuration
             .accounts()
-            .holder(request.facts().keys().get(0))
+            .holder(request.metadata().keys().get(0))
             .map(ClientAccount::name)
             .equals(request.accountName());
     return held
@@ -79,12 +81,14 @@
         : Optional.of(HornbeamusherException.notRun(FailureType.KEY_UNKNOWN));
   }
 
-  /** Returns whether no key can have been taken away longer ago than allowed. */
+  /**
+   * Returns whether the configuration was confirmed recently enough to serve requests with keys.
+   */
   boolean confirmed() {
     return freshness.ageMillis() < bounds.servedMillis();
   }
 
-  /** Returns whether {@link #confirmed} ends soon unless the table service is reached. */
+  /** Returns whether {@link #confirmed} becomes false soon unless the table service is reached. */
   boolean expiring() {
     return freshness.ageMillis() >= bounds.leaveMillis();
   }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/AnswerFacts.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/AnswerFacts.java
@@ -6,15 +6,15 @@
 import org.hornbeamusher.ratelimit.StatedLimit;
 
 /**
- * What the head of an endpoint's answer says.
+ * The metadata in the head of an endpoint's response.
  *
- * @param requestId the request it answers, where it says so
- * @param endpoint the endpoint that gave the answer, where it says so
- * @param signed whether the endpoint vouches for it
- * @param notRun whether the endpoint says that it did not run the request
- * @param limit the rate of requests that the endpoint takes
- * @param retryAfter for how long a refusal says that the endpoint takes no requests
- * @param leaving whether the endpoint says that it is leaving
+ * @param requestId the request that it answers, if stated
+ * @param endpoint the endpoint that sent it, if stated
+ * @param signed whether it carries a seal; false for an encoded body, which no seal covers
+ * @param notRun whether it states that the request was not run
+ * @param limit the request rate limit of the endpoint
+ * @param retryAfter how long the endpoint accepts no requests, if it is a refusal
+ * @param leaving whether the endpoint states that it is leaving
  */
 public record AnswerFacts(
     Optional<String> requestId,
@@ -25,7 +25,7 @@
     StatedRetryAfter retryAfter,
     boolean leaving) {
 
-  /** The facts of an answer that has not come. */
+  /** Stands for a response that has not arrived. */
   static final AnswerFacts NONE =
       new AnswerFacts(
           Optional.empty(),
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/Attempt.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/Attempt.java
@@ -11,17 +11,17 @@
 import org.hornbeamusher.placement.EndpointView;
 
 /**
- * One send of a request to one endpoint: tells an answer to this request from everything else that
- * may come on the connection, and whether the request ran.
+ * One send of a request to one endpoint. Distinguishes a valid response to this request from
+ * anything else that arrives on the connection, and determines whether the request ran.
  */
 final class Attempt implements HttpStreamListener {
 
-  /** Two ways between zones and a busy peer; a connection that takes longer is not coming. */
+  /** Covers a packet each way between availability zones and a busy peer. */
   private static final long CONNECT_MILLIS = 400;
 
   private final EndpointView endpoint;
   private final Dialect dialect;
-  private final AnswerStatements statements;
+  private final EndpointStateUpdater statements;
   private final Clock clock;
   private final String requestId;
   private final Listener listener;
@@ -29,25 +29,25 @@
   private long sentMillis;
   private HttpHead refused;
 
-  /** What the endpoint answered this attempt with; 0 before it did. */
+  /** The status of the response; 0 before it arrives. */
   private int status;
 
-  private AnswerFacts facts = AnswerFacts.NONE;
-  private boolean over;
+  private AnswerFacts metadata = AnswerFacts.NONE;
+  private boolean ended;
 
-  Attempt(EndpointView endpoint, ForwardState state, String requestId, Listener listener) {
+  Attempt(EndpointView endpoint, ForwardContext context, String requestId, Listener listener) {
     this.endpoint = endpoint;
-    this.dialect = state.dialect();
-    this.statements = state.statements();
-    this.clock = state.clock();
+    this.dialect = context.headerCodec();
+    this.statements = context.stateUpdater();
+    this.clock = context.clock();
     this.requestId = requestId;
     this.listener = listener;
   }
 
-  void send(HttpClient http, HttpCall call, int mostConnections) {
+  void send(HttpClient http, HttpCall call, int maxConnections) {
     sentMillis = clock.millis();
-    stream = http.stream(call, this, CONNECT_MILLIS, mostConnections);
-    if (over) {
+    stream = http.stream(call, this, CONNECT_MILLIS, maxConnections);
+    if (ended) {
       stream.cancel();
     }
   }
@@ -56,19 +56,19 @@
     return endpoint;
   }
 
-  /** Returns what the endpoint answered this attempt with; 0 before it did. */
+  /** Returns the status of the response; 0 before it arrives. */
   int status() {
     return status;
   }
 
-  /** Returns what the endpoint's answer says; nothing before it has come. */
-  AnswerFacts facts() {
-    return facts;
+  /** Returns the metadata of the response; empty before it arrives. */
+  AnswerFacts metadata() {
+    return metadata;
   }
 
-  /** Ends the attempt; the listener hears nothing more. */
+  /** Cancels the attempt; the listener is not called any more. */
   void cancel() {
-    over = true;
+    ended = true;
     if (stream != null) {
       stream.cancel();
     }
@@ -81,23 +81,24 @@
 
   @Override
   public void head(HttpHead head) {
-    if (over) {
+    if (ended) {
       return;
     }
     status = head.status();
-    AnswerFacts said = dialect.answer(head);
-    if (said.requestId().isPresent() && !said.requestId().get().equals(requestId)) {
+    AnswerFacts received = dialect.answer(head);
+    if (received.requestId().isPresent() && !received.requestId().get().equals(requestId)) {
       breakOff(FailureType.FOREIGN_ANSWER);
       return;
     }
-    facts = said;
-    statements.answered(endpoint, facts, head.success() && facts.signed(), sentMillis);
-    if (facts.notRun()) {
+    metadata = received;
+    statements.recordResponse(endpoint, metadata, head.success() && metadata.signed(), sentMillis);
+    if (metadata.notRun()) {
       refused = head;
-    } else if (head.success() && !facts.signed()) {
+    } else if (head.success() && !metadata.signed()) {
       breakOff(FailureType.UNSIGNED_ANSWER);
-    } else if (CallerAnswer.promisesNotRun(head.status())) {
-      // The status says to the caller that the request did not run; the endpoint did not say so.
+    } else if (CallerResponse.guaranteesNotRun(head.status())) {
+      // To the caller this status means that the request did not run, which the endpoint did not
+      // state.
       breakOff(FailureType.ENDPOINT_FAILED);
     } else {
       listener.head(this, head);
@@ -106,58 +107,60 @@
 
   private void breakOff(FailureType cause) {
     cancel();
-    listener.ended(this, new AttemptEnd.Broken(cause));
+    listener.ended(this, new AttemptOutcome.Failed(cause));
   }
 
   @Override
   public void data(byte[] bytes) {
-    if (!over && refused == null) {
+    if (!ended && refused == null) {
       listener.data(this, bytes);
     }
   }
 
   @Override
   public void end() {
-    if (!over) {
-      over = true;
+    if (!ended) {
+      ended = true;
       listener.ended(
           this,
-          refused == null ? new AttemptEnd.Answered() : new AttemptEnd.Refused(refused.status()));
+          refused == null
+              ? new AttemptOutcome.Completed()
+              : new AttemptOutcome.Refused(refused.status()));
     }
   }
 
   @Override
   public void failed(Throwable failure) {
-    if (over) {
+    if (ended) {
       return;
     }
-    over = true;
+    ended = true;
     if (refused != null) {
-      // What it said of the request holds even if the rest of its refusal was lost.
-      listener.ended(this, new AttemptEnd.Refused(refused.status()));
+      // The head states that the request did not run, even if the rest of the refusal was lost.
+      listener.ended(this, new AttemptOutcome.Refused(refused.status()));
       return;
     }
     FailureType type = HornbeamusherException.from(failure).type();
     listener.ended(
         this,
         switch (type) {
-          case CONNECT_FAILED -> new AttemptEnd.NotSent();
-          case SEND_WITHDRAWN -> new AttemptEnd.Withdrawn();
-          case CONNECTIONS_IN_USE -> new AttemptEnd.NoConnection();
-          default -> new AttemptEnd.Broken(FailureType.ENDPOINT_LOST);
+          case CONNECT_FAILED -> new AttemptOutcome.NotSent();
+          case SEND_WITHDRAWN -> new AttemptOutcome.Withdrawn();
+          case CONNECTIONS_IN_USE -> new AttemptOutcome.NoConnection();
+          default -> new AttemptOutcome.Failed(FailureType.ENDPOINT_LOST);
         });
   }
 
-  /** Hears of an attempt. */
+  /** Receives the progress of an attempt. */
   interface Listener {
 
-    /** The endpoint's answer to this request begins. */
+    /** Called when the head of a valid response has arrived. */
     void head(Attempt attempt, HttpHead head);
 
-    /** A part of it. */
+    /** Called for each part of the body. */
     void data(Attempt attempt, byte[] bytes);
 
-    /** The attempt is over; told once. */
-    void ended(Attempt attempt, AttemptEnd end);
+    /** Called once, when the attempt has ended. */
+    void ended(Attempt attempt, AttemptOutcome end);
   }
 }
--- /dev/null
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/AttemptOutcome.java
@@ -0,0 +1,37 @@
+package org.hornbeamusher.forwarding;
+
+import org.hornbeamusher.failure.FailureType;
+
+/** The outcome of one send to an endpoint. */
+sealed interface AttemptOutcome {
+
+  /** Returns the name used in logs and metrics. */
+  default String label() {
+    return switch (this) {
+      case Completed completed -> "answered";
+      case NotSent notSent -> "not-sent";
+      case Withdrawn withdrawn -> "withdrawn";
+      case NoConnection none -> "no-connection";
+      case Refused refused -> "refused-" + refused.status();
+      case Failed failed -> failed.cause().label();
+    };
+  }
+
+  /** The response is complete. */
+  record Completed() implements AttemptOutcome {}
+
+  /** Nothing reached the endpoint. */
+  record NotSent() implements AttemptOutcome {}
+
+  /** Nothing was sent, because the endpoint accepts no more requests. */
+  record Withdrawn() implements AttemptOutcome {}
+
+  /** Nothing was sent, because all of this entry's connections to the endpoint are in use. */
+  record NoConnection() implements AttemptOutcome {}
+
+  /** The endpoint stated that it did not run the request. */
+  record Refused(int status) implements AttemptOutcome {}
+
+  /** The request may have run, but there is no valid response. */
+  record Failed(FailureType cause) implements AttemptOutcome {}
+}
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/WholeRelay.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/BufferedRelay.java
@@ -7,31 +7,31 @@
 import org.hornbeamusher.http.HttpHeader;
 
 /**
- * Holds an answer until it is whole, so that one which breaks off can be replaced by another
- * endpoint's or by a failure. A long one is passed on as it comes.
+ * Buffers a response until it is complete, so that one that breaks off can be replaced by that of
+ * another endpoint or by a failure. A long response is streamed once the buffer is full.
  */
-final class WholeRelay implements AnswerRelay {
+final class BufferedRelay implements ResponseRelay {
 
-  /** Every number of so many digits is a long. */
-  private static final int MOST_DIGITS = 18;
+  /** Every decimal number with this many digits fits in a long. */
+  private static final int MAX_DIGITS = 18;
 
-  /** Answers of plain services are a few kilobytes; beyond this, memory counts for more. */
-  private static final int MOST_HELD_BYTES = 128 * 1024;
+  /** Responses of plain services have a few kilobytes; the bound limits the memory in use. */
+  private static final int MAX_BUFFERED_BYTES = 128 * 1024;
 
   private static final String LENGTH = "Content-Length";
 
-  private final CallerAnswer caller;
-  private final ByteArrayOutputStream held = new ByteArrayOutputStream();
+  private final CallerResponse caller;
+  private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
   private List<HttpHeader> headers = List.of();
   private OptionalLong length = OptionalLong.empty();
   private int status;
   private boolean started;
 
-  WholeRelay(CallerAnswer caller) {
+  BufferedRelay(CallerResponse caller) {
     this.caller = caller;
   }
 
-  /** Two answers cannot be joined: what has begun to go out is finished by nobody else. */
+  /** Two responses cannot be joined, so nothing can replace one that was partly sent. */
   @Override
   public boolean head(HttpHead head, List<HttpHeader> toCaller) {
     if (started) {
@@ -39,14 +39,14 @@
     }
     status = head.status();
     headers = toCaller;
-    length = head.first(LENGTH).map(WholeRelay::length).orElse(OptionalLong.empty());
-    held.reset();
+    length = head.first(LENGTH).map(BufferedRelay::length).orElse(OptionalLong.empty());
+    buffer.reset();
     return true;
   }
 
-  /** A length that is no number is none: the answer then ends with its connection. */
+  /** Parses a length; ignores an invalid one, so that the response is sent without a length. */
   private static OptionalLong length(String text) {
-    if (text.isEmpty() || text.length() > MOST_DIGITS) {
+    if (text.isEmpty() || text.length() > MAX_DIGITS) {
       return OptionalLong.empty();
     }
     for (int i = 0; i < text.length(); i++) {
@@ -63,8 +63,8 @@
       caller.write(bytes);
       return;
     }
-    held.writeBytes(bytes);
-    if (held.size() > MOST_HELD_BYTES) {
+    buffer.writeBytes(bytes);
+    if (buffer.size() > MAX_BUFFERED_BYTES) {
       start(length);
     }
   }
@@ -72,13 +72,13 @@
   private void start(OptionalLong announced) {
     started = true;
     caller.head(status, headers, announced);
-    caller.write(held.toByteArray());
+    caller.write(buffer.toByteArray());
   }
 
   @Override
   public void end() {
     if (!started) {
-      start(OptionalLong.of(held.size()));
+      start(OptionalLong.of(buffer.size()));
     }
     caller.end();
   }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/CallerRequest.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/CallerRequest.java
@@ -4,12 +4,12 @@
 import org.hornbeamusher.http.HttpHeader;
 
 /**
- * A request as its caller sent it.
+ * A request as sent by its caller.
  *
  * @param method for example {@code POST}
- * @param host the host asked for, as it was written
- * @param target path and query as they were written
- * @param headers every header in order
+ * @param host the Host header, unmodified
+ * @param target path and query, unmodified
+ * @param headers all headers in order
  * @param body the content
  * @param arrivedMillis when its head was read
  */
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/CallerAnswer.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/CallerResponse.java
@@ -21,21 +21,21 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * Writes one answer to a caller without ever blocking, and hears when the caller goes.
+ * Writes one response to a caller without blocking, and detects when the caller disconnects.
  *
- * <p>While a request is answered nothing reads from its connection, so that its close would be
- * noticed only when the answer is written, after an endpoint has worked for nobody. The connection
- * is therefore read on, below the channel that ends with the request's body; what comes early of a
- * next request is put back.
+ * <p>Undertow does not read from a connection while its request is being answered, so a disconnect
+ * would be noticed only when the response is written, after an endpoint has worked for nothing.
+ * This class therefore keeps reading from the connection, below the channel that ends with the
+ * request's body, and pushes back the bytes of a pipelined request.
  */
-final class CallerAnswer {
+final class CallerResponse {
 
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private static final int MISDIRECTED = 421;
 
-  /** Statuses that tell a caller that its request did not run and never will. */
-  private static final Set<Integer> PROMISES =
+  /** Statuses by which a caller knows that its request did not run and never will. */
+  private static final Set<Integer> NOT_RUN_STATUSES =
       Set.of(
           StatusCodes.REQUEST_TIME_OUT,
           MISDIRECTED,
@@ -44,37 +44,38 @@
 
   private final HttpServerExchange exchange;
   private final ArrayDeque<ByteBuffer> unwritten = new ArrayDeque<>();
-  private Runnable gone = () -> {};
+  private Runnable disconnectTask = () -> {};
   private StreamSinkChannel sink;
   private boolean ending;
   private boolean ended;
 
-  CallerAnswer(HttpServerExchange exchange) {
+  CallerResponse(HttpServerExchange exchange) {
     this.exchange = exchange;
   }
 
-  /** Calls a task, once at most, when the caller has gone before the answer was whole. */
-  void onGone(Runnable task) {
-    gone = task;
-    exchange.getConnection().addCloseListener(connection -> closed());
+  /** Runs a task, at most once, if the caller disconnects before the response is complete. */
+  void onDisconnect(Runnable task) {
+    disconnectTask = task;
+    exchange.getConnection().addCloseListener(connection -> disconnected());
     if (exchange.getConnection() instanceof HttpServerConnection connection) {
       StreamSourceConduit source = connection.getOriginalSourceConduit();
-      connection.getChannel().getSourceChannel().setReadListener(c -> watch(connection, source));
+      connection.getChannel().getSourceChannel().setReadListener(c -> readable(connection, source));
       source.resumeReads();
     }
   }
 
-  private void watch(HttpServerConnection connection, StreamSourceConduit source) {
+  private void readable(HttpServerConnection connection, StreamSourceConduit source) {
     if (ended || connection.getExtraBytes() != null || read(connection, source) > 0) {
       source.suspendReads();
     }
   }
 
   /**
-   * Tells whether the caller has closed its connection already, also before any {@link #onGone}.
-   * What a caller wrote waits here for as long as nobody reads it, and its close behind it.
+   * Returns whether the caller has already disconnected; may be called before {@link
+   * #onDisconnect}. A disconnect is detected only by reading, after all bytes that the caller sent
+   * before it.
    */
-  boolean goneAlready() {
+  boolean hasDisconnected() {
     if (exchange.getConnection() instanceof HttpServerConnection connection
         && connection.getExtraBytes() == null) {
       read(connection, connection.getOriginalSourceConduit());
@@ -82,14 +83,14 @@
     return ended;
   }
 
-  /** Reads what comes early of a next request, and puts it back; notices a close. */
+  /** Reads and pushes back bytes of a pipelined request; detects a disconnect. */
   private int read(HttpServerConnection connection, StreamSourceConduit source) {
     PooledByteBuffer pooled = connection.getByteBufferPool().allocate();
     int count = -1;
     try {
       count = source.read(pooled.getBuffer());
     } catch (IOException e) {
-      // A reset: the caller is as gone as after a close.
+      // A connection reset is handled like a close.
     }
     if (count > 0) {
       pooled.getBuffer().flip();
@@ -99,25 +100,25 @@
     pooled.close();
     if (count < 0) {
       IoUtils.safeClose(connection);
-      closed();
+      disconnected();
     }
     return count;
   }
 
-  private void closed() {
+  private void disconnected() {
     if (!ended) {
       ended = true;
       unwritten.clear();
-      gone.run();
+      disconnectTask.run();
     }
   }
 
-  /** Tells whether nothing more can be written. */
+  /** Returns whether nothing more can be written. */
   boolean ended() {
     return ended;
   }
 
-  /** Writes the head; without a length the answer is written in chunks. */
+  /** Writes the head; without a length the body is sent in chunks. */
   void head(int status, List<HttpHeader> headers, OptionalLong length) {
     exchange.setStatusCode(status);
     for (HttpHeader header : headers) {
@@ -126,40 +127,40 @@
     if (length.isPresent()) {
       exchange.setResponseContentLength(length.getAsLong());
     } else if (exchange.isHttp11()) {
-      // The server writes no chunks by itself where the connection ends with the answer, and a cut
-      // answer would look whole.
+      // Undertow does not use chunks by itself when the connection closes after the response, and a
+      // truncated response would then look complete.
       exchange.getResponseHeaders().put(Headers.TRANSFER_ENCODING, "chunked");
     }
   }
 
-  /** Makes this the last answer of its connection. */
-  void closeAfter() {
+  /** Closes the connection after this response. */
+  void closeAfterResponse() {
     exchange.setPersistent(false);
     exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
   }
 
-  /** Ends a request of which nothing was written with a failure, and returns its status. */
-  int refuse(HornbeamusherException failure, boolean closeAfter) {
+  /** Responds with a failure, if nothing was written before, and returns the status. */
+  int refuse(HornbeamusherException failure, boolean closeConnection) {
     int status = statusOf(failure);
     byte[] body = failure.getMessage().getBytes(StandardCharsets.UTF_8);
     head(status, headersOf(failure), OptionalLong.of(body.length));
-    if (closeAfter) {
-      closeAfter();
+    if (closeConnection) {
+      closeAfterResponse();
     }
     write(body);
     end();
     return status;
   }
 
-  /** Tells whether a caller takes a status as the promise that its request did not run. */
-  static boolean promisesNotRun(int status) {
-    return PROMISES.contains(status);
+  /** Returns whether a status guarantees to the caller that its request did not run. */
+  static boolean guaranteesNotRun(int status) {
+    return NOT_RUN_STATUSES.contains(status);
   }
 
-  /** Only a request that was not run may be answered with a status that says so. */
+  /** Uses a status that guarantees "not run" only for a request that did not run. */
   private static int statusOf(HornbeamusherException failure) {
     int status = failure.type().httpStatus();
-    return promisesNotRun(status) && !failure.outcome().equals(Outcome.NOT_RUN)
+    return guaranteesNotRun(status) && !failure.outcome().equals(Outcome.NOT_RUN)
         ? StatusCodes.BAD_GATEWAY
         : status;
   }
@@ -173,7 +174,7 @@
     return List.of(type, new HttpHeader("Retry-After", seconds));
   }
 
-  /** Writes milliseconds as seconds with three decimals. */
+  /** Formats milliseconds as seconds with three decimals. */
   static String seconds(long millis) {
     String rest = Long.toString(MILLIS_PER_SECOND + millis % MILLIS_PER_SECOND);
     return millis / MILLIS_PER_SECOND + "." + rest.substring(1);
@@ -188,7 +189,7 @@
     flush();
   }
 
-  /** Ends a whole answer. */
+  /** Ends a complete response. */
   void end() {
     if (!ended) {
       ending = true;
@@ -196,7 +197,7 @@
     }
   }
 
-  /** Cuts the connection, so that what was written cannot be taken for a whole answer. */
+  /** Closes the connection, so that a partial response cannot be taken for a complete one. */
   void abort() {
     ended = true;
     unwritten.clear();
@@ -229,7 +230,7 @@
     } catch (IOException e) {
       // The caller's connection is broken.
       IoUtils.safeClose(exchange.getConnection());
-      closed();
+      disconnected();
     }
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/Dialect.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/Dialect.java
@@ -4,40 +4,41 @@
 import org.hornbeamusher.http.HttpHead;
 import org.hornbeamusher.http.HttpHeader;
 
-/** The headers by which callers and endpoints say what this product has to know. */
+/** Reads and writes the headers exchanged with callers and endpoints. */
 public interface Dialect {
 
   /**
-   * Reads a request's headers.
+   * Parses a request's headers.
    *
    * @param headers as the caller sent them
-   * @return what they say
+   * @return the metadata in them
    * @throws org.hornbeamusher.failure.HornbeamusherException of type {@code INVALID_HEADER}
    */
   RequestFacts request(List<HttpHeader> headers);
 
   /**
-   * Makes the headers that an endpoint gets.
+   * Creates the headers of a request to an endpoint.
    *
    * @param headers as the caller sent them
-   * @param facts what the endpoint is told besides
-   * @return the caller's headers, without those that concern its connection or are not its to set
+   * @param metadata metadata added for the endpoint
+   * @return the caller's headers without hop-by-hop headers and those that only this system may
+   *     set, and the added metadata
    */
-  List<HttpHeader> toEndpoint(List<HttpHeader> headers, SendFacts facts);
+  List<HttpHeader> toEndpoint(List<HttpHeader> headers, SendFacts metadata);
 
   /**
-   * Reads the head of an answer.
+   * Parses the head of a response.
    *
    * @param head as the endpoint sent it
-   * @return what it says
+   * @return the metadata in it
    */
   AnswerFacts answer(HttpHead head);
 
   /**
-   * Makes the headers that a caller gets.
+   * Creates the headers of a response to a caller.
    *
    * @param head as the endpoint sent it
-   * @return its headers, without those that concern its connection
+   * @return its headers without hop-by-hop headers
    */
   List<HttpHeader> toCaller(HttpHead head);
 }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointLog.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointLog.java
@@ -10,15 +10,15 @@
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.ids.EndpointLife;
 
-/** The log lines about the endpoints that an entry knows. */
+/** Logs events of the endpoints that an entry knows. */
 final class EndpointLog {
 
-  /** Ids in one line; an outage of the store may concern every endpoint. */
-  private static final int MOST_IDS = 8;
+  /** Most ids in one line; an outage of the store may affect every endpoint. */
+  private static final int MAX_IDS = 8;
 
   private EndpointLog() {}
 
-  /** An endpoint is new, has changed or is leaving. */
+  /** Logs that an endpoint is new, has changed or is leaving. */
   static void changed(Endpoint endpoint) {
     EventLog.log(
         EventType.ENDPOINT_CHANGED,
@@ -36,28 +36,28 @@
         endpoint.leaving());
   }
 
-  /** An endpoint is no more. */
-  static void ended(EndpointLife life, String cause, long listAgeMillis) {
+  /** Logs that an incarnation of an endpoint has ended. */
+  static void ended(EndpointLife incarnation, String cause, long listAgeMillis) {
     EventLog.log(
         EventType.ENDPOINT_GONE,
         "endpoint",
-        life.id(),
+        incarnation.id(),
         "start_ms",
-        life.startMillis(),
+        incarnation.startMillis(),
         "cause",
         cause,
         "list_age_ms",
         listAgeMillis);
   }
 
-  /** A list lacks endpoints that are kept. */
+  /** Logs that endpoints are missing from a list but kept for now. */
   static void missing(Absence absence) {
     List<EndpointId> endpoints = absence.endpoints();
     if (endpoints.isEmpty()) {
       return;
     }
     String first =
-        endpoints.stream().limit(MOST_IDS).map(EndpointId::value).collect(Collectors.joining(","));
+        endpoints.stream().limit(MAX_IDS).map(EndpointId::value).collect(Collectors.joining(","));
     EventLog.log(
         EventType.ENDPOINTS_MISSING,
         "endpoints",
@@ -70,7 +70,7 @@
         absence.keptMillis());
   }
 
-  /** An entry of the list cannot be used. */
+  /** Logs that an entry of the list cannot be used. */
   static void unusable(UnusableEntry entry) {
     EventLog.log(
         EventType.ENDPOINT_UNUSABLE,
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointLimits.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointRateLimiter.java
@@ -12,44 +12,45 @@
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.loop.EventLoop;
 import org.hornbeamusher.placement.EndpointView;
-import org.hornbeamusher.ratelimit.EvenShare;
+import org.hornbeamusher.ratelimit.EvenShareLimiter;
 import org.hornbeamusher.ratelimit.PermitDecision;
 import org.hornbeamusher.ratelimit.StatedLimit;
 import org.hornbeamusher.wire.Message;
 
 /**
- * Keeps this entry's requests within the rates that endpoints state in their answers, which hold
- * for all entries together.
+ * Keeps this entry's requests within the rate limits that endpoints advertise in their responses.
+ * Such a limit applies to all entries together.
  *
- * <p>A request to an endpoint that states no limit goes at once. For any other, the entry asks the
- * agent that paces the endpoint ({@link org.hornbeamusher.ratelimit.RatePermits}). Where no agent
- * is connected, or it does not answer in time, the entry keeps to its even share. Confined to the
- * loop.
+ * <p>A request to an endpoint without a limit is sent at once. Otherwise the entry requests a
+ * permit from the agent that paces the endpoint ({@link org.hornbeamusher.ratelimit.RatePermits}).
+ * If no agent is connected or it does not respond in time, the entry keeps to its even share.
+ * Confined to the event loop.
  */
-final class EndpointLimits implements EngineAgents.PermitListener {
+final class EndpointRateLimiter implements AgentConnections.PermitListener {
 
-  /** Several ways between availability zones; an agent that takes longer is frozen or lost. */
-  private static final long REPLY_MILLIS = 150;
+  /** Several times the latency between zones; an agent that takes longer is frozen or lost. */
+  private static final long RESPONSE_TIMEOUT_MILLIS = 150;
 
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  private final EngineAgents agents;
+  private final AgentConnections agents;
   private final ForwardMetrics metrics;
   private final EventLoop loop;
   private final Clock clock;
-  private final Map<Long, RatePermit> asked = new HashMap<>();
-  private final Map<EndpointView, EvenShare> shares = new WeakHashMap<>();
-  private long numbers;
+  private final Map<Long, PendingRatePermit> pending = new HashMap<>();
+  private final Map<EndpointView, EvenShareLimiter> shares = new WeakHashMap<>();
+  private long lastNumber;
 
   /**
-   * Creates limits of no endpoint.
+   * Creates a limiter.
    *
-   * @param agents who pace endpoints
+   * @param agents the agents that pace endpoints
    * @param metrics counts decisions
-   * @param loop the loop
+   * @param loop the event loop
    * @param clock monotonic
    */
-  EndpointLimits(EngineAgents agents, ForwardMetrics metrics, EventLoop loop, Clock clock) {
+  EndpointRateLimiter(
+      AgentConnections agents, ForwardMetrics metrics, EventLoop loop, Clock clock) {
     this.agents = agents;
     this.metrics = metrics;
     this.loop = loop;
@@ -57,16 +58,17 @@
   }
 
   /**
-   * Takes the head of an endpoint's answer.
+   * Processes the rate limit in the head of a response.
    *
-   * @param endpoint who answered
-   * @param stated the limit that the answer states
+   * @param endpoint the endpoint that sent it
+   * @param advertised the advertised limit
    * @param succeeded whether it is a success
-   * @param sentMillis when its request was sent
+   * @param sentMillis when the request was sent
    */
-  void answered(EndpointView endpoint, StatedLimit stated, boolean succeeded, long sentMillis) {
+  void recordResponse(
+      EndpointView endpoint, StatedLimit advertised, boolean succeeded, long sentMillis) {
     OptionalDouble before = endpoint.limit().requestsPerSecond();
-    if (!endpoint.limit().answered(stated, succeeded, sentMillis, clock.millis())) {
+    if (!endpoint.limit().answered(advertised, succeeded, sentMillis, clock.millis())) {
       return;
     }
     OptionalDouble now = endpoint.limit().requestsPerSecond();
@@ -82,36 +84,40 @@
   }
 
   /**
-   * Asks whether a request may be sent. The listener is called in a later turn of the loop.
+   * Requests a permit for a request. The listener is called in a later iteration of the loop.
    *
-   * @param endpoint where it is to be sent; it limits its rate
-   * @param requestId the caller's
-   * @param mostWaitMillis how long it can wait
+   * @param endpoint the destination, which has a rate limit
+   * @param requestId id of the request
+   * @param maxWaitMillis how long the request can wait
    * @param listener receives the decision
-   * @return what has to be cancelled when the request is not to be sent there any more
+   * @return the pending permit, to be cancelled if the request is not sent there after all
    */
-  RatePermit request(
-      EndpointView endpoint, String requestId, long mostWaitMillis, RatePermit.Listener listener) {
+  PendingRatePermit request(
+      EndpointView endpoint,
+      String requestId,
+      long maxWaitMillis,
+      PendingRatePermit.Listener listener) {
     double limit = endpoint.limit().requestsPerSecond().orElseThrow();
-    RatePermit permit = new RatePermit(endpoint, requestId, mostWaitMillis, listener);
+    PendingRatePermit permit = new PendingRatePermit(endpoint, requestId, maxWaitMillis, listener);
     agents
         .pacer(endpoint.life())
         .ifPresentOrElse(
-            agent -> ask(permit, agent, limit), () -> loop.execute(() -> decideHere(permit)));
+            agent -> requestFromAgent(permit, agent, limit),
+            () -> loop.execute(() -> decideLocally(permit)));
     return permit;
   }
 
-  private void ask(RatePermit permit, InetSocketAddress agent, double limit) {
-    long number = ++numbers;
-    asked.put(number, permit);
+  private void requestFromAgent(PendingRatePermit permit, InetSocketAddress agent, double limit) {
+    long number = ++lastNumber;
+    pending.put(number, permit);
     EventLoop.Timer timeout =
         loop.after(
-            REPLY_MILLIS,
+            RESPONSE_TIMEOUT_MILLIS,
             () -> {
-              asked.remove(number);
-              decideHere(permit);
+              pending.remove(number);
+              decideLocally(permit);
             });
-    permit.asked(agent, timeout);
+    permit.requestedFrom(agent, timeout);
     agents.send(
         agent,
         new Message.RatePermitRequest(
@@ -119,12 +125,12 @@
             permit.endpoint().id().value(),
             limit,
             clock.millis() - permit.endpoint().limit().statedMillis(),
-            permit.mostWaitMillis()));
+            permit.maxWaitMillis()));
   }
 
   @Override
   public void received(Message.RatePermitReply reply) {
-    RatePermit permit = asked.remove(reply.number());
+    PendingRatePermit permit = pending.remove(reply.number());
     if (permit != null) {
       decided(
           permit,
@@ -137,13 +143,13 @@
 
   @Override
   public void closed(InetSocketAddress agent) {
-    List<RatePermit> unanswered =
-        asked.values().stream().filter(permit -> permit.askedOf(agent)).toList();
-    asked.values().removeAll(unanswered);
-    unanswered.forEach(this::decideHere);
+    List<PendingRatePermit> unanswered =
+        pending.values().stream().filter(permit -> permit.isRequestedFrom(agent)).toList();
+    pending.values().removeAll(unanswered);
+    unanswered.forEach(this::decideLocally);
   }
 
-  private void decideHere(RatePermit permit) {
+  private void decideLocally(PendingRatePermit permit) {
     if (permit.over()) {
       return;
     }
@@ -152,17 +158,18 @@
       permit.permit();
       return;
     }
-    EvenShare share =
+    EvenShareLimiter share =
         shares.computeIfAbsent(
-            permit.endpoint(), unused -> new EvenShare(ThreadLocalRandom.current().nextDouble()));
+            permit.endpoint(),
+            unused -> new EvenShareLimiter(ThreadLocalRandom.current().nextDouble()));
     decided(
         permit,
-        share.permit(
-            limit.getAsDouble(), agents.entries(), permit.mostWaitMillis(), clock.millis()),
+        share.tryAcquire(
+            limit.getAsDouble(), agents.entries(), permit.maxWaitMillis(), clock.millis()),
         "even-share");
   }
 
-  private void decided(RatePermit permit, PermitDecision decision, String by) {
+  private void decided(PendingRatePermit permit, PermitDecision decision, String by) {
     if (permit.over()) {
       return;
     }
@@ -181,24 +188,24 @@
     }
   }
 
-  private void granted(RatePermit permit, long waitMillis) {
+  private void granted(PendingRatePermit permit, long waitMillis) {
     if (waitMillis <= 0) {
-      due(permit);
+      permitDue(permit);
       return;
     }
     permit.endpoint().limit().defer(waitMillis + interval(permit), clock.millis());
-    permit.granted(loop.after(waitMillis, () -> due(permit)));
+    permit.grantedLater(loop.after(waitMillis, () -> permitDue(permit)));
   }
 
-  private static long interval(RatePermit permit) {
+  private static long interval(PendingRatePermit permit) {
     OptionalDouble limit = permit.endpoint().limit().requestsPerSecond();
     return limit.isPresent() && limit.getAsDouble() > 0
         ? Math.round(MILLIS_PER_SECOND / limit.getAsDouble())
         : 0;
   }
 
-  /** The endpoint may have stated meanwhile that it takes nothing new. */
-  private void due(RatePermit permit) {
+  /** The endpoint may have stated in the meantime that it accepts no requests. */
+  private void permitDue(PendingRatePermit permit) {
     if (permit.endpoint().takesRequests(clock.millis())) {
       permit.permit();
     } else {
@@ -206,7 +213,7 @@
     }
   }
 
-  private static void log(RatePermit permit, boolean granted, long waitMillis, String by) {
+  private static void log(PendingRatePermit permit, boolean granted, long waitMillis, String by) {
     EventLog.log(
         EventType.RATE_PERMIT_DECIDED,
         "id",
@@ -218,7 +225,7 @@
         "wait_ms",
         waitMillis,
         "most_wait_ms",
-        permit.mostWaitMillis(),
+        permit.maxWaitMillis(),
         "limit_per_s",
         text(permit.endpoint().limit().requestsPerSecond()),
         "by",
@@ -238,7 +245,7 @@
         text(before));
   }
 
-  /** Returns a limit as the log states it. */
+  /** Formats a limit for the log. */
   static String text(OptionalDouble limit) {
     return limit.isPresent() ? Double.toString(limit.getAsDouble()) : "";
   }
--- /dev/null
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointStateUpdater.java
@@ -0,0 +1,53 @@
+package org.hornbeamusher.forwarding;
+
+import org.hornbeamusher.availability.AvailabilityLog;
+import org.hornbeamusher.availability.EndpointAvailability;
+import org.hornbeamusher.clock.Clock;
+import org.hornbeamusher.placement.EndpointView;
+
+/**
+ * Updates an endpoint's state from the heads of its responses: its rate limit, its back-off and
+ * whether it is leaving. Confined to the event loop.
+ */
+final class EndpointStateUpdater {
+
+  private final EndpointRateLimiter limits;
+  private final Clock clock;
+
+  /**
+   * Creates an updater.
+   *
+   * @param limits applies rate limits
+   * @param clock monotonic
+   */
+  EndpointStateUpdater(EndpointRateLimiter limits, Clock clock) {
+    this.limits = limits;
+    this.clock = clock;
+  }
+
+  /**
+   * Processes the head of a response.
+   *
+   * @param endpoint the endpoint that sent it
+   * @param metadata the metadata in its head
+   * @param succeeded whether it is a success
+   * @param sentMillis when the request was sent
+   */
+  void recordResponse(
+      EndpointView endpoint, AnswerFacts metadata, boolean succeeded, long sentMillis) {
+    if (metadata.endpoint().filter(other -> !other.equals(endpoint.id())).isPresent()) {
+      // Another endpoint uses this address now; its state is not that of the expected endpoint.
+      return;
+    }
+    limits.recordResponse(endpoint, metadata.limit(), succeeded, sentMillis);
+    EndpointAvailability availability = endpoint.availability();
+    long now = clock.millis();
+    if (availability.answered(metadata.retryAfter(), now)) {
+      AvailabilityLog.backoff(
+          endpoint.id(), endpoint.life().startMillis(), availability.backoffMillis(now));
+    }
+    if (metadata.leaving() && availability.statedLeaving()) {
+      AvailabilityLog.leaving(endpoint.id(), endpoint.life().startMillis());
+    }
+  }
+}
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/EngineReservation.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EngineReservation.java
@@ -4,22 +4,26 @@
 import org.hornbeamusher.directory.HeldAdapter;
 import org.hornbeamusher.wire.Message;
 
-/** One request's place at an engine, as its agent knows it. */
+/** A request's reservation for its adapter at an engine, held by the engine's agent. */
 final class EngineReservation {
 
-  /** Stands for a reservation where no agent is connected; nothing hears of it. */
+  /** Stands for a reservation where no agent is connected; has no effect. */
   static final EngineReservation NONE = new EngineReservation();
 
-  private final EngineAgents.Link link;
+  private final AgentConnections.AgentConnection link;
   private final long number;
   private final Request request;
   private final Listener listener;
   private final Clock clock;
   private boolean waiting;
-  private boolean promptRead;
+  private boolean promptProcessed;
 
   EngineReservation(
-      EngineAgents.Link link, long number, Request request, Listener listener, Clock clock) {
+      AgentConnections.AgentConnection link,
+      long number,
+      Request request,
+      Listener listener,
+      Clock clock) {
     this.link = link;
     this.number = number;
     this.request = request;
@@ -36,7 +40,7 @@
     return number;
   }
 
-  /** Tells the agent, at first and after its connection was lost. */
+  /** Sends the reservation to the agent, initially and after each reconnect. */
   void announce() {
     link.send(
         new Message.Reserve(
@@ -45,7 +49,7 @@
             request.adapter().key().toString(),
             request.adapter().version(),
             request.rank(),
-            promptRead ? 0 : request.unreadTokens(),
+            promptProcessed ? 0 : request.unreadTokens(),
             Math.max(0, request.expiresMillis() - clock.millis()),
             request.aimMillis() - clock.millis()));
   }
@@ -53,24 +57,24 @@
   void granted() {
     if (waiting) {
       waiting = false;
-      listener.granted();
+      listener.reservationGranted();
     }
   }
 
   void lost() {
     if (waiting) {
-      listener.lost();
+      listener.reservationLost();
     }
   }
 
-  /** The request runs; neither a grant nor the loss of the agent means anything to it any more. */
-  void used() {
+  /** Called when the request is sent; the listener is not called any more. */
+  void requestSent() {
     waiting = false;
   }
 
-  void promptRead() {
-    if (link != null && !promptRead) {
-      promptRead = true;
+  void promptProcessed() {
+    if (link != null && !promptProcessed) {
+      promptProcessed = true;
       link.send(new Message.PromptRead(number));
     }
   }
@@ -83,7 +87,7 @@
     }
   }
 
-  /** What the agent is told. */
+  /** The parameters of a reservation. */
   record Request(
       String requestId,
       HeldAdapter adapter,
@@ -92,13 +96,13 @@
       long expiresMillis,
       long aimMillis) {}
 
-  /** Hears of a reservation that waits. */
+  /** Receives the outcome of a pending reservation. */
   interface Listener {
 
-    /** The adapter can be used. */
-    void granted();
+    /** Called when the adapter can be used. */
+    void reservationGranted();
 
-    /** The agent's connection is lost. */
-    void lost();
+    /** Called when the connection to the agent is lost. */
+    void reservationLost();
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/EventSplitter.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EventSplitter.java
@@ -7,13 +7,13 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts the bytes of an event stream into whole events.
+ * Splits the bytes of an event stream into complete events.
  *
- * <p>An endpoint may break off in the middle of an event. Another endpoint then goes on after the
- * last event that the caller has whole, so a part of an event must not have been passed on.
+ * <p>An endpoint may fail in the middle of an event. Another endpoint then resumes after the last
+ * complete event that the caller received, so a partial event must not be relayed.
  *
- * <p>Example: after {@code "id: 1\n\nid: 2\nda"} one event has been given out, with number 1; the
- * rest waits for {@code "ta: x\n\n"}.
+ * <p>Example: after {@code "id: 1\n\nid: 2\nda"} one event, with id 1, has been returned; the rest
+ * waits for {@code "ta: x\n\n"}.
  */
 final class EventSplitter {
 
@@ -25,14 +25,14 @@
   private final ByteArrayOutputStream event = new ByteArrayOutputStream();
   private boolean lineEmpty = true;
 
-  /** Takes bytes and returns the events that are whole with them. */
+  /** Adds bytes and returns the events that they complete. */
   List<Event> take(byte[] bytes) {
-    List<Event> whole = new ArrayList<>();
+    List<Event> complete = new ArrayList<>();
     for (byte next : bytes) {
       event.write(next);
       if (next == LINE_FEED) {
         if (lineEmpty) {
-          whole.add(event(event.toByteArray()));
+          complete.add(event(event.toByteArray()));
           event.reset();
         }
         lineEmpty = true;
@@ -40,11 +40,11 @@
         lineEmpty = false;
       }
     }
-    return whole;
+    return complete;
   }
 
-  /** Returns the bytes of an event that is not whole; none at the end of a whole stream. */
-  byte[] rest() {
+  /** Returns the bytes of an incomplete event; empty at the end of a complete stream. */
+  byte[] incompleteBytes() {
     return event.toByteArray();
   }
 
@@ -64,17 +64,17 @@
     try {
       return OptionalLong.of(Long.parseLong(text));
     } catch (NumberFormatException e) {
-      // Not a number: the event is passed on but no stream can be resumed after it.
+      // The event is relayed, but the stream cannot be resumed after it.
       return OptionalLong.empty();
     }
   }
 
   /**
-   * One event as it came.
+   * One event.
    *
-   * @param bytes the whole of it
-   * @param id its number; empty when it has none
-   * @param comment whether it carries nothing for the caller
+   * @param bytes the event, unmodified
+   * @param id its numeric id; empty if it has none
+   * @param comment whether it contains only comments
    */
   record Event(byte[] bytes, OptionalLong id, boolean comment) {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/EventRelay.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EventStreamRelay.java
@@ -7,46 +7,46 @@
 import org.hornbeamusher.http.HttpHeader;
 
 /**
- * Passes a stream on event by event.
+ * Relays a stream event by event.
  *
- * <p>The head goes out with the first event, so that an endpoint that dies before it leaves nothing
- * behind. After it, another endpoint's events follow in the same answer, under the first one's
- * head; an endpoint that answers with anything but events cannot go on. A failure before the first
- * event is no stream and is passed on whole.
+ * <p>The head is sent with the first event, so that an endpoint that fails before it leaves nothing
+ * behind. After that, events of another endpoint may continue the same response under the first
+ * head; a response that is not an event stream cannot continue it. A failure before the first event
+ * is not a stream and is relayed as a buffered response.
  */
-final class EventRelay implements AnswerRelay {
+final class EventStreamRelay implements ResponseRelay {
 
   private static final String CONTENT_TYPE = "Content-Type";
 
-  private final CallerAnswer caller;
+  private final CallerResponse caller;
   private EventSplitter splitter = new EventSplitter();
   private List<HttpHeader> headers = List.of();
   private OptionalLong lastEvent;
   private int status;
 
-  /** The media type of the stream that the caller has, without its parameters. */
+  /** The media type of the stream sent to the caller, without parameters. */
   private String type = "";
 
   private boolean started;
 
-  /** False once the caller has an event without a number: nobody could go on after it. */
-  private boolean numbered = true;
+  /** False after an event without an id was relayed: no endpoint could resume after it. */
+  private boolean resumable = true;
 
-  /** Takes the bytes of an attempt that answered with a failure; null in a stream. */
-  private WholeRelay failure;
+  /** Relays the response of an attempt that failed; null for a stream. */
+  private BufferedRelay failure;
 
-  EventRelay(CallerAnswer caller, OptionalLong lastEvent) {
+  EventStreamRelay(CallerResponse caller, OptionalLong lastEvent) {
     this.caller = caller;
     this.lastEvent = lastEvent;
   }
 
   /**
-   * Once events have gone out only events may follow. A failure has none: judged by its bytes alone
-   * it would be the end of the stream, and half an answer would look whole.
+   * After the first event only events may follow. A failure contains no event, so without this
+   * check it would be taken for the end of the stream and a truncated response would look complete.
    */
   @Override
   public boolean head(HttpHead head, List<HttpHeader> toCaller) {
-    if (!canContinue() || (started && !goesOn(head))) {
+    if (!canContinue() || (started && !continuesStream(head))) {
       return false;
     }
     splitter = new EventSplitter();
@@ -56,7 +56,7 @@
       type = contentType(head);
       headers = toCaller;
       if (!head.success()) {
-        failure = new WholeRelay(caller);
+        failure = new BufferedRelay(caller);
         return failure.head(head, toCaller);
       }
     }
@@ -64,11 +64,11 @@
   }
 
   /**
-   * A page that explains why there is no answer may come with the status of a success. An answer of
-   * the right type without any event is taken for the end: the endpoint before it may have broken
-   * off between its last event and its end.
+   * Compares the media type as well, because an error page may have a success status. A response of
+   * the right type without any event is accepted as the end: the previous endpoint may have failed
+   * between its last event and the end of its stream.
    */
-  private boolean goesOn(HttpHead head) {
+  private boolean continuesStream(HttpHead head) {
     return head.status() == status && contentType(head).equals(type);
   }
 
@@ -84,19 +84,19 @@
       return;
     }
     for (EventSplitter.Event event : splitter.take(bytes)) {
-      pass(event);
+      relay(event);
     }
   }
 
-  /** An event that the caller has already is dropped; a resumed stream may begin too early. */
-  private void pass(EventSplitter.Event event) {
+  /** Drops events that the caller already has, since a resumed stream may begin too early. */
+  private void relay(EventSplitter.Event event) {
     if (event.id().isPresent()) {
       if (lastEvent.isPresent() && event.id().getAsLong() <= lastEvent.getAsLong()) {
         return;
       }
       lastEvent = event.id();
     } else if (!event.comment()) {
-      numbered = false;
+      resumable = false;
     }
     start();
     caller.write(event.bytes());
@@ -116,7 +116,7 @@
       return;
     }
     start();
-    caller.write(splitter.rest());
+    caller.write(splitter.incompleteBytes());
     caller.end();
   }
 
@@ -135,14 +135,14 @@
     return lastEvent;
   }
 
-  /** A stream that ends in the middle of an event was cut, whatever its framing says. */
+  /** A stream that ends within an event is truncated, even if its HTTP framing is complete. */
   @Override
   public boolean canEnd() {
-    return failure != null || splitter.rest().length == 0;
+    return failure != null || splitter.incompleteBytes().length == 0;
   }
 
   @Override
   public boolean canContinue() {
-    return numbered && (failure == null || failure.canContinue());
+    return resumable && (failure == null || failure.canContinue());
   }
 }
--- /dev/null
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardContext.java
@@ -0,0 +1,56 @@
+package org.hornbeamusher.forwarding;
+
+import org.hornbeamusher.clock.Clock;
+import org.hornbeamusher.directory.EndpointDirectory;
+import org.hornbeamusher.http.HttpClient;
+import org.hornbeamusher.loop.EventLoop;
+import org.hornbeamusher.placement.Placer;
+import org.hornbeamusher.routes.ConfigurationInForce;
+import org.hornbeamusher.routes.ServiceSpec;
+import org.hornbeamusher.routes.VersionsInForce;
+
+/**
+ * The objects shared by all requests of an entry. Confined to the event loop.
+ *
+ * @param configuration holder of the current configuration
+ * @param admission admits or refuses requests
+ * @param versions the current versions of adapters
+ * @param directory the endpoints
+ * @param placer chooses endpoints
+ * @param agents connections to the engines' agents
+ * @param rateLimiter applies the rate limits of endpoints
+ * @param stateUpdater updates endpoints from their responses
+ * @param retryAllowance bounds retries
+ * @param headerCodec reads and writes headers
+ * @param http sends attempts
+ * @param metrics the metrics
+ * @param loop the event loop
+ * @param clock monotonic
+ */
+record ForwardContext(
+    ConfigurationInForce configuration,
+    RequestAdmission admission,
+    VersionsInForce versions,
+    EndpointDirectory directory,
+    Placer placer,
+    AgentConnections agents,
+    EndpointRateLimiter rateLimiter,
+    EndpointStateUpdater stateUpdater,
+    RetryAllowance retryAllowance,
+    Dialect headerCodec,
+    HttpClient http,
+    ForwardMetrics metrics,
+    EventLoop loop,
+    Clock clock) {
+
+  /** Returns the maximum number of connections of this entry to each endpoint of a service. */
+  int maxConnections(String service) {
+    int accepted =
+        configuration
+            .current()
+            .flatMap(current -> current.service(service))
+            .map(ServiceSpec::maxConnections)
+            .orElse(0);
+    return ConnectionShare.of(accepted, agents.entries());
+  }
+}
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardDaemon.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardDaemon.java
@@ -41,28 +41,28 @@
 import org.hornbeamusher.wire.WireSettings;
 
 /**
- * The entry on a platform that keeps configuration and endpoints: takes callers' requests and sends
- * each to an endpoint.
+ * The entry on a platform that stores the configuration and the list of endpoints: accepts callers'
+ * requests and forwards each to an endpoint.
  *
- * <p>Everything it knows it is told by the methods {@link #configured}, {@link #versioned} and
- * {@link #listed}, by the agents beside the engines, and by its own requests. It keeps nothing.
+ * <p>Its state comes from {@link #configured}, {@link #versioned} and {@link #listed}, from the
+ * agents of the engines and from its own requests. It persists nothing.
  */
-public final class ForwardDaemon implements ForwardRun.Listener {
+public final class ForwardDaemon implements ForwardedRequest.Listener {
 
   private static final int PROTOCOL = 1;
 
-  /** The balancer asks once a second and needs two refusals; until then callers still come. */
-  private static final long LEAST_DRAIN_MILLIS = 2_500;
+  /** The load balancer checks once a second and sends callers until two checks have failed. */
+  private static final long MIN_DRAIN_MILLIS = 2_500;
 
   private static final long DRAIN_CHECK_MILLIS = 50;
 
-  /** A list that is asked for so long before missing endpoints are removed arrives in time. */
-  private static final long REFRESH_MILLIS = 200;
+  /** A list requested this long before the removal of missing endpoints arrives in time. */
+  private static final long LIST_REFRESH_LEAD_MILLIS = 200;
 
   private final ForwardSettings settings;
   private final Clock clock;
   private final EventLoop loop;
-  private final ForwardState state;
+  private final ForwardContext context;
   private final AvailabilityRegister availability = new AvailabilityRegister();
   private final ConfigurationFreshness freshness;
   private final AccountCheck accounts;
@@ -71,26 +71,26 @@
   private final ForwardServer server;
   private final MetricRegistry registry = new MetricRegistry();
   private final Optional<MetricsListener> metrics;
-  private final Set<ForwardRun> runs = new HashSet<>();
+  private final Set<ForwardedRequest> runs = new HashSet<>();
   private final CompletableFuture<Void> drained = new CompletableFuture<>();
   private Runnable listRefresh = () -> {};
-  private boolean leaving;
-  private long leaveMillis;
+  private boolean draining;
+  private long drainStartMillis;
 
-  /** Whether the last question for the configuration failed. */
+  /** Whether the last request for the configuration failed. */
   private boolean configurationUnreachable;
 
-  /** Whether keyed callers were served when the balancer asked last. */
+  /** Whether callers with keys were served at the last readiness check. */
   private boolean keysConfirmed = true;
 
   /**
    * Creates an entry that is not started.
    *
-   * @param settings its instance
-   * @param dialect the headers of callers and endpoints
+   * @param settings the settings
+   * @param dialect reads and writes the headers of callers and endpoints
    * @param http a started client with a single I/O thread
    * @param clock monotonic
-   * @param elapsed monotonic, and counts the time for which the instance was suspended
+   * @param elapsed monotonic, including time for which the instance was suspended
    */
   public ForwardDaemon(
       ForwardSettings settings, Dialect dialect, HttpClient http, Clock clock, Clock elapsed) {
@@ -101,37 +101,37 @@
     this.meter = new QuotaMeter<>(QuotaSettings.DEFAULT, settings.quotas());
     this.accounts = new AccountCheck(freshness, settings.revocation());
     Placer placer = new Placer(PlacementSettings.DEFAULT, settings.zone());
-    EngineAgents agents =
-        new EngineAgents(
+    AgentConnections agents =
+        new AgentConnections(
             placer.views(),
             hello(settings),
             new LoopTransport(http.worker(), WireSettings.DEFAULT, clock),
             loop,
             clock);
     this.usage = new UsageExchange(meter, QuotaSettings.DEFAULT, agents::send, loop, clock);
-    agents.usage(usage);
+    agents.setUsageListener(usage);
     ForwardMetrics counts = new ForwardMetrics(registry);
-    EndpointLimits limits = new EndpointLimits(agents, counts, loop, clock);
-    agents.permits(limits);
+    EndpointRateLimiter limits = new EndpointRateLimiter(agents, counts, loop, clock);
+    agents.setPermitListener(limits);
     ConfigurationInForce configuration = new ConfigurationInForce();
     VersionsInForce versions = new VersionsInForce();
-    this.state =
-        new ForwardState(
+    this.context =
+        new ForwardContext(
             configuration,
-            new RequestIntake(configuration, versions, accounts, meter, usage, clock),
+            new RequestAdmission(configuration, versions, accounts, meter, usage, clock),
             versions,
             new EndpointDirectory(settings.list()),
             placer,
             agents,
             limits,
-            new AnswerStatements(limits, clock),
-            new RepeatAllowance(settings.repeats()),
+            new EndpointStateUpdater(limits, clock),
+            new RetryAllowance(settings.repeats()),
             dialect,
             http,
             counts,
             loop,
             clock);
-    state.agents().listener(new Lives());
+    context.agents().setIncarnationListener(new IncarnationUpdates());
     this.metrics = settings.metrics().map(at -> new MetricsListener(at, http.worker(), registry));
     this.server =
         new ForwardServer(
@@ -156,26 +156,26 @@
         "");
   }
 
-  /** Listens. */
+  /** Starts the listeners. */
   public void start() {
     server.start();
     metrics.ifPresent(listener -> listener.startLater(loop));
-    ForwardMetrics measured = state.metrics();
+    ForwardMetrics measured = context.metrics();
     measured.gauge("running", runs::size);
-    measured.gauge("endpoints", state.placer().views()::size);
-    measured.gauge("limited_endpoints", state.placer()::limitedEndpoints);
-    measured.gauge("backoff_endpoints", () -> state.placer().backoffEndpoints(clock.millis()));
-    measured.gauge("leaving_endpoints", state.placer()::leavingEndpoints);
-    measured.gauge("missing_endpoints", state.directory()::missingEndpoints);
-    measured.gauge("unusable_entries", state.directory()::unusableEntries);
-    measured.gauge("list_age_ms", () -> state.directory().ageMillis(clock.millis()));
+    measured.gauge("endpoints", context.placer().views()::size);
+    measured.gauge("limited_endpoints", context.placer()::limitedEndpoints);
+    measured.gauge("backoff_endpoints", () -> context.placer().backoffEndpoints(clock.millis()));
+    measured.gauge("leaving_endpoints", context.placer()::leavingEndpoints);
+    measured.gauge("missing_endpoints", context.directory()::missingEndpoints);
+    measured.gauge("unusable_entries", context.directory()::unusableEntries);
+    measured.gauge("list_age_ms", () -> context.directory().ageMillis(clock.millis()));
     measured.gauge("key_proof_age_ms", accounts::proofAgeMillis);
     measured.gauge("configuration_age_ms", freshness::ageMillis);
     measured.gauge("quota_entries", () -> meter.entries());
     measured.gauge("quota_reachable_entries", () -> meter.reachable(clock.millis()));
     measured.gauge(
         "configuration",
-        () -> state.configuration().current().map(Configuration::version).orElse(0L));
+        () -> context.configuration().current().map(Configuration::version).orElse(0L));
     EventLog.log(
         EventType.PROCESS_STARTED,
         "role",
@@ -189,14 +189,14 @@
   }
 
   /**
-   * Takes a configuration that was read.
+   * Applies a configuration that was read.
    *
-   * @param configuration any version; an older one than that in force is ignored
-   * @param transfer what the answer that held it took to arrive
+   * @param configuration any version; ignored if older than the current one
+   * @param transfer size and duration of the transfer
    */
   public void configured(Configuration configuration, Transfer transfer) {
     freshness.read();
-    if (state.configuration().offer(configuration)) {
+    if (context.configuration().offer(configuration)) {
       EventLog.log(
           EventType.CONFIGURATION_IN_FORCE,
           "version",
@@ -209,84 +209,83 @@
           transfer.millis());
       meter.configured(configuration.accounts().accounts(), clock.millis());
       usage.start();
-      apply(state.directory().configured(configuration.services().keySet()));
+      apply(context.directory().configured(configuration.services().keySet()));
       connectAgents();
       openWhenReady();
     }
   }
 
-  /** Takes note that the newest configuration cannot be read; the one in force stays. */
+  /** Records that the newest configuration cannot be parsed; the current one is kept. */
   public void configurationUnreadable() {
     freshness.superseded();
   }
 
   /**
-   * Takes note that no newer configuration than those given to {@link #configured} was acknowledged
-   * at some moment.
+   * Records that no configuration newer than those passed to {@link #configured} existed when a
+   * request was sent.
    *
-   * @param askedMillis when the question was sent that showed it, by the clock that counts
-   *     suspended time
+   * @param askedMillis when the request was sent, by the clock that includes suspended time
    */
   public void configurationConfirmed(long askedMillis) {
     configurationUnreachable = false;
     freshness.confirmed(askedMillis);
   }
 
-  /** Takes note that a question for the configuration was not answered. */
+  /** Records that a request for the configuration failed. */
   public void configurationUnreachable() {
     configurationUnreachable = true;
   }
 
   /**
-   * Takes a version of an adapter.
+   * Applies a version of an adapter.
    *
    * @param adapter the adapter
-   * @param version any version; an older one than that in force is ignored
+   * @param version any version; ignored if older than the current one
    */
   public void versioned(AdapterKey adapter, long version) {
-    if (state.versions().offer(adapter, version)) {
+    if (context.versions().offer(adapter, version)) {
       EventLog.log(EventType.VERSION_IN_FORCE, "adapter", adapter, "version", version);
     }
   }
 
   /**
-   * Takes a list of endpoints.
+   * Applies a list of endpoints.
    *
-   * @param entries every entry of the list
-   * @param askedMillis when the list was asked for, by the monotonic clock
+   * @param entries all entries of the list
+   * @param askedMillis when the list was requested, by the monotonic clock
    */
   public void listed(List<? extends ListedEntry> entries, long askedMillis) {
     EndpointDirectory.Change change =
-        state.directory().listed(entries, askedMillis, clock.millis());
+        context.directory().listed(entries, askedMillis, clock.millis());
     apply(change);
     long keptMillis = change.absence().keptMillis();
     if (keptMillis > 0) {
-      loop.after(Math.max(0, keptMillis - REFRESH_MILLIS), listRefresh);
+      loop.after(Math.max(0, keptMillis - LIST_REFRESH_LEAD_MILLIS), listRefresh);
       loop.after(keptMillis, this::expireMissing);
     }
     openWhenReady();
   }
 
   /**
-   * Sets how a list is asked for before its time.
+   * Sets how to request a list ahead of schedule.
    *
-   * @param refresh asks for one at once
+   * @param refresh requests a list at once
    */
   public void listRefresh(Runnable refresh) {
     listRefresh = refresh;
   }
 
   /**
-   * Takes note that a question for the list of endpoints was not answered.
+   * Records that a request for the list of endpoints failed.
    *
    * @param askedMillis when it was sent, by the monotonic clock
    */
   public void listUnanswered(long askedMillis) {
-    state.directory().unanswered(askedMillis);
+    context.directory().unanswered(askedMillis);
   }
 
   private void expireMissing() {
-    apply(state.directory().expire(clock.millis()));
+    apply(context.directory().expire(clock.millis()));
   }
 
   private void openWhenReady() {
@@ -298,87 +297,91 @@
   private void apply(EndpointDirectory.Change change) {
     change.changed().forEach(this::changed);
     for (Endpoint gone : change.gone()) {
-      Optional.ofNullable(state.placer().views().remove(gone.id()))
+      Optional.ofNullable(context.placer().views().remove(gone.id()))
           .ifPresent(EndpointView::removed);
       if (!change.ended().contains(gone.life())) {
-        EndpointLog.ended(gone.life(), "not-listed", state.directory().ageMillis(clock.millis()));
+        EndpointLog.ended(gone.life(), "not-listed", context.directory().ageMillis(clock.millis()));
       }
     }
     if (!change.gone().isEmpty() || !change.changed().isEmpty()) {
       connectAgents();
     }
-    change.ended().forEach(this::lifeEnded);
+    change.ended().forEach(this::incarnationEnded);
     change.unusable().forEach(this::unusable);
     EndpointLog.missing(change.absence());
   }
 
   private void unusable(UnusableEntry entry) {
-    state.metrics().entryUnusable();
+    context.metrics().entryUnusable();
     EndpointLog.unusable(entry);
   }
 
-  private void lifeEnded(EndpointLife life) {
-    EndpointLog.ended(life, "restarted", state.directory().ageMillis(clock.millis()));
-    List.copyOf(runs).forEach(run -> run.lifeEnded(life));
+  private void incarnationEnded(EndpointLife incarnation) {
+    EndpointLog.ended(incarnation, "restarted", context.directory().ageMillis(clock.millis()));
+    List.copyOf(runs).forEach(run -> run.incarnationEnded(incarnation));
   }
 
   private void changed(Endpoint endpoint) {
-    EndpointView known = state.placer().views().get(endpoint.id());
-    boolean another = known == null || !known.life().sameAs(endpoint.life());
-    boolean news = another || known.endpoint().leaving() != endpoint.leaving();
-    if (another) {
+    EndpointView known = context.placer().views().get(endpoint.id());
+    boolean newIncarnation = known == null || !known.life().sameAs(endpoint.life());
+    boolean significant = newIncarnation || known.endpoint().leaving() != endpoint.leaving();
+    if (newIncarnation) {
       EndpointView created = view(endpoint);
       created.listed(endpoint, clock.millis());
-      state.placer().views().put(endpoint.id(), created);
-      state.agents().listed(endpoint);
+      context.placer().views().put(endpoint.id(), created);
+      context.agents().endpointListed(endpoint);
     } else {
       known.listed(endpoint, clock.millis());
       availability.of(endpoint.life());
     }
-    if (news) {
+    if (significant) {
       EndpointLog.changed(endpoint);
     }
   }
 
   private EndpointView view(Endpoint endpoint) {
-    int places = engine(endpoint).map(EngineSpec::adapterPlaces).orElse(0);
-    return new EndpointView(endpoint, memory(endpoint), places, availability.of(endpoint.life()));
+    int adapterSlots = engine(endpoint).map(EngineSpec::adapterPlaces).orElse(0);
+    return new EndpointView(
+        endpoint, memoryTokens(endpoint), adapterSlots, availability.of(endpoint.life()));
   }
 
-  private long memory(Endpoint endpoint) {
+  private long memoryTokens(Endpoint endpoint) {
     return engine(endpoint).map(EngineSpec::memoryTokens).orElse(0L);
   }
 
   private Optional<EngineSpec> engine(Endpoint endpoint) {
-    return state
+    return context
         .configuration()
         .current()
         .flatMap(configuration -> configuration.service(endpoint.service()))
         .flatMap(ServiceSpec::engine);
   }
 
-  /** Agents stand beside engines only; a plain service has none to connect to. */
+  /** Connects to the agents of engines; endpoints of plain services have no agent. */
   private void connectAgents() {
     List<InetSocketAddress> addresses =
-        state.directory().endpoints().stream()
-            .filter(endpoint -> memory(endpoint) > 0)
+        context.directory().endpoints().stream()
+            .filter(endpoint -> memoryTokens(endpoint) > 0)
             .map(e -> new InetSocketAddress(e.uri().getHost(), settings.agentPort()))
             .toList();
-    state.agents().connect(addresses);
+    context.agents().connect(addresses);
   }
 
   private boolean hasConfiguration() {
-    return state.configuration().current().isPresent();
+    return context.configuration().current().isPresent();
   }
 
   private boolean ready() {
-    return !leaving && hasConfiguration() && !state.placer().views().isEmpty() && !unconfirmed();
+    return !draining
+        && hasConfiguration()
+        && !context.placer().views().isEmpty()
+        && !keysUnconfirmed();
   }
 
-  /** Callers with keys would be refused here, now or before the balancer could send them away. */
-  private boolean unconfirmed() {
+  /** Whether callers with keys are refused now, or will be before the balancer redirects them. */
+  private boolean keysUnconfirmed() {
     boolean required =
-        state.configuration().current().filter(c -> c.accounts().required()).isPresent();
+        context.configuration().current().filter(c -> c.accounts().required()).isPresent();
     boolean confirmed =
         !required || (accounts.confirmed() && !(configurationUnreachable && accounts.expiring()));
     if (confirmed != keysConfirmed) {
@@ -388,51 +391,52 @@
           "proof_age_ms",
           accounts.proofAgeMillis(),
           "configuration",
-          state.configuration().current().map(Configuration::version).orElse(0L));
+          context.configuration().current().map(Configuration::version).orElse(0L));
     }
     return !confirmed;
   }
 
   /**
-   * A request that comes on a kept connection long after the balancer has stopped sending callers
-   * could not be ended in the time that is left; it is refused while that is still true to say.
+   * Returns whether a request is refused because of the drain. One that arrives on a persistent
+   * connection long after the balancer has stopped sending callers could not be finished in the
+   * remaining time, so it is refused before it runs.
    */
-  private boolean tooLate() {
-    return leaving && clock.millis() - leaveMillis >= LEAST_DRAIN_MILLIS;
+  private boolean tooLateInDrain() {
+    return draining && clock.millis() - drainStartMillis >= MIN_DRAIN_MILLIS;
   }
 
-  private void accept(CallerRequest request, CallerAnswer caller) {
-    if (tooLate()) {
+  private void accept(CallerRequest request, CallerResponse caller) {
+    if (tooLateInDrain()) {
       EventLog.log(EventType.REQUEST_REFUSED, "path", request.path(), "cause", "shutting-down");
       caller.refuse(HornbeamusherException.notRun(FailureType.SHUTTING_DOWN).retryAfter(0), true);
       return;
     }
-    ForwardRun run = new ForwardRun(state, request, caller, this);
+    ForwardedRequest run = new ForwardedRequest(context, request, caller, this);
     runs.add(run);
     run.start();
   }
 
   @Override
-  public boolean leaving() {
-    return leaving;
+  public boolean draining() {
+    return draining;
   }
 
   @Override
-  public void ended(ForwardRun run, String cause) {
+  public void ended(ForwardedRequest run, String cause) {
     runs.remove(run);
   }
 
   /**
-   * Takes no new callers and ends what is under way.
+   * Stops accepting callers and finishes the running requests.
    *
-   * @return completes when nothing is left, or when the time that the instance has is nearly over
+   * @return completes when no request is running or when the drain time is over
    */
   public CompletableFuture<Void> drain() {
     loop.execute(
         () -> {
-          if (!leaving) {
-            leaving = true;
-            leaveMillis = clock.millis();
+          if (!draining) {
+            draining = true;
+            drainStartMillis = clock.millis();
             EventLog.log(EventType.PROCESS_STOPPING, "role", "entry", "running", runs.size());
             checkDrained();
           }
@@ -441,50 +445,50 @@
   }
 
   private void checkDrained() {
-    long since = clock.millis() - leaveMillis;
+    long since = clock.millis() - drainStartMillis;
     boolean late = since >= settings.drainMillis();
     if (late) {
-      Set.copyOf(runs).forEach(ForwardRun::abort);
+      Set.copyOf(runs).forEach(ForwardedRequest::abort);
     }
-    if (late || (runs.isEmpty() && since >= LEAST_DRAIN_MILLIS)) {
+    if (late || (runs.isEmpty() && since >= MIN_DRAIN_MILLIS)) {
       EventLog.log(EventType.PROCESS_STOPPED, "role", "entry", "after_ms", since);
-      state.agents().leaving();
+      context.agents().notifyLeaving();
       drained.complete(null);
       return;
     }
     loop.after(DRAIN_CHECK_MILLIS, this::checkDrained);
   }
 
-  /** Closes everything. */
+  /** Closes all listeners and connections. */
   public void stop() {
     server.stop();
     metrics.ifPresent(MetricsListener::stop);
-    state.agents().stop();
+    context.agents().stop();
   }
 
-  /** Takes what the agents say of the lives of their engines. */
-  private final class Lives implements EngineAgents.Listener {
+  /** Applies what agents report about the incarnations of their engines. */
+  private final class IncarnationUpdates implements AgentConnections.IncarnationListener {
 
     @Override
-    public void seen(EndpointLife life, String address) {
-      apply(state.directory().agentReported(life, address, clock.millis()));
+    public void incarnationSeen(EndpointLife incarnation, String address) {
+      apply(context.directory().agentReported(incarnation, address, clock.millis()));
     }
 
-    /** What ran there is lost, as far as anyone can tell; the life itself may be seen again. */
+    /** The requests running there are treated as lost; the incarnation may be seen again. */
     @Override
-    public void unseen(EndpointLife life) {
-      EndpointView view = state.placer().views().get(life.id());
-      if (view != null && view.life().sameAs(life)) {
+    public void incarnationLost(EndpointLife incarnation) {
+      EndpointView view = context.placer().views().get(incarnation.id());
+      if (view != null && view.life().sameAs(incarnation)) {
         view.endedByAgent();
       }
-      state.directory().agentLost(life.id());
-      EndpointLog.ended(life, "not-seen", state.directory().ageMillis(clock.millis()));
-      List.copyOf(runs).forEach(run -> run.endpointLost(life));
+      context.directory().agentLost(incarnation.id());
+      EndpointLog.ended(incarnation, "not-seen", context.directory().ageMillis(clock.millis()));
+      List.copyOf(runs).forEach(run -> run.endpointLost(incarnation));
     }
 
     @Override
     public void agentLost(EndpointId id) {
-      state.directory().agentLost(id);
+      context.directory().agentLost(id);
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardMetrics.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardMetrics.java
@@ -9,16 +9,13 @@
 import java.util.function.Supplier;
 import org.hornbeamusher.accounts.AccountName;
 
-/**
- * What an entry counts: requests by how they ended, attempts by how they ended, and the times that
- * callers feel.
- */
+/** The metrics of an entry: requests and attempts by outcome, and latencies. */
 final class ForwardMetrics {
 
   private static final String PREFIX = "entry.";
 
-  /** Accounts that are counted by name; the others are counted together. */
-  private static final int MOST_ACCOUNTS = 64;
+  /** Most accounts that are counted by name; the others are counted together. */
+  private static final int MAX_ACCOUNTS = 64;
 
   private static final String OTHER_ACCOUNTS = "other-accounts";
 
@@ -28,7 +25,7 @@
   private final Histogram attemptMillis;
   private final Histogram loadStallMillis;
 
-  /** By how they ended; the registry would look each up by a name that is put together anew. */
+  /** Counters by outcome, cached to avoid building their names for each lookup in the registry. */
   private final Map<String, Counter> requests = new HashMap<>();
 
   private final Map<String, Counter> attempts = new HashMap<>();
@@ -42,7 +39,7 @@
     this.loadStallMillis = registry.histogram(PREFIX + "load_stall_ms");
   }
 
-  /** A request is over. */
+  /** Records the end of a request. */
   void requestEnded(String cause, long tookMillis, long firstMillis) {
     counter(requests, "requests.", cause).inc();
     requestMillis.update(tookMillis);
@@ -51,7 +48,7 @@
     }
   }
 
-  /** A send to an endpoint is over. */
+  /** Records the end of an attempt. */
   void attemptEnded(String end, long tookMillis) {
     counter(attempts, "attempts.", end).inc();
     attemptMillis.update(tookMillis);
@@ -61,39 +58,39 @@
     return known.computeIfAbsent(end, unused -> registry.counter(PREFIX + kind + end));
   }
 
-  /** A request of a client account is over. */
+  /** Records the end of a request of a client account. */
   void accountEnded(AccountName account, boolean refused) {
     AccountCounters counters = accounts.get(account);
     if (counters == null) {
-      boolean own = accounts.size() < MOST_ACCOUNTS;
+      boolean own = accounts.size() < MAX_ACCOUNTS;
       counters = new AccountCounters(registry, own ? account.value() : OTHER_ACCOUNTS);
       accounts.put(account, counters);
     }
     (refused ? counters.refused : counters.answered).inc();
   }
 
-  /** A request waited for its adapter before it was sent. */
+  /** Records how long a request waited for its adapter before it was sent. */
   void stalled(long millis) {
     loadStallMillis.update(millis);
   }
 
-  /** A request to an endpoint that limits its rate may be sent, or not within its time. */
+  /** Records the decision about a request to a rate-limited endpoint. */
   void permitDecided(boolean granted) {
     registry.counter(PREFIX + "rate_permits." + (granted ? "granted" : "refused")).inc();
   }
 
-  /** An entry of the list of endpoints cannot be used, or for another reason than before. */
+  /** Records that an entry of the endpoint list is unusable, also when its reason has changed. */
   void entryUnusable() {
     registry.counter(PREFIX + "list.unusable").inc();
   }
 
-  /** Registers a value that is read when somebody asks. */
+  /** Registers a value that is read on demand. */
   void gauge(String name, Supplier<Number> value) {
     Gauge<Number> gauge = value::get;
     registry.gauge(PREFIX + name, () -> gauge);
   }
 
-  /** What is counted of one client account. */
+  /** The counters of one client account. */
   private static final class AccountCounters {
 
     private final Counter answered;
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardServer.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardServer.java
@@ -21,52 +21,52 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** The entry's two listeners: callers' requests, and whether the entry takes callers. */
+/** The entry's two HTTP listeners: one for callers and one for readiness checks. */
 final class ForwardServer {
 
-  /** Callers reuse a connection that was idle for up to 12 s; closing earlier would cross them. */
-  private static final int IDLE_MILLIS = 30_000;
+  /** Callers reuse connections idle for up to 12 s; a shorter timeout would race with requests. */
+  private static final int IDLE_TIMEOUT_MILLIS = 30_000;
 
-  /** A head that takes longer is not coming; callers stay well below. */
-  private static final int HEAD_MILLIS = 10_000;
+  /** Timeout for reading a request head; callers take far less. */
+  private static final int HEAD_TIMEOUT_MILLIS = 10_000;
 
-  /** Callers who waited unread come in soon after the first, and some have given up meanwhile. */
-  private static final long WAITED_MILLIS = 2_000;
+  /** Requests that were held at startup arrive within this time; some callers have given up. */
+  private static final long HELD_REQUESTS_MILLIS = 2_000;
 
-  /** A line for each of hundreds of callers a second would take the time that a start needs. */
-  private static final long TURNED_AWAY_LINE_MILLIS = 100;
+  /** A log line for each of hundreds of refusals a second would delay the startup. */
+  private static final long REFUSAL_LOG_MILLIS = 100;
 
   private static final String RETRY_AFTER =
-      CallerAnswer.seconds(ReturnTime.millis(FailureType.NOT_READY, 0));
+      CallerResponse.seconds(RetryAfterPolicy.millis(FailureType.NOT_READY, 0));
 
-  private static final long MOST_BODY_BYTES = 4L * 1024 * 1024;
-  private static final int MOST_HEAD_BYTES = 32 * 1024;
+  private static final long MAX_BODY_BYTES = 4L * 1024 * 1024;
+  private static final int MAX_HEAD_BYTES = 32 * 1024;
 
   private final ForwardSettings settings;
   private final XnioWorker worker;
   private final Clock clock;
-  private final BiConsumer<CallerRequest, CallerAnswer> accept;
+  private final BiConsumer<CallerRequest, CallerResponse> accept;
   private final BooleanSupplier configured;
   private final BooleanSupplier ready;
   private final EventLoop loop;
 
-  /** Whether callers are taken in; they are from then on. */
+  /** Whether callers are accepted; stays true once set. */
   private boolean open;
 
   private long openedMillis;
 
-  /** Callers who were refused and of whom no line tells yet. */
-  private int turnedAway;
+  /** Number of refused requests that are not logged yet. */
+  private int unloggedRefusals;
 
-  private Undertow callers;
-  private Undertow readiness;
+  private Undertow callerListener;
+  private Undertow readinessListener;
 
   ForwardServer(
       ForwardSettings settings,
       XnioWorker worker,
       Clock clock,
       EventLoop loop,
-      BiConsumer<CallerRequest, CallerAnswer> accept,
+      BiConsumer<CallerRequest, CallerResponse> accept,
       BooleanSupplier configured,
       BooleanSupplier ready) {
     this.settings = settings;
@@ -79,52 +79,52 @@
   }
 
   void start() {
-    callers =
+    callerListener =
         Undertow.builder()
             .setWorker(worker)
             .setSocketOption(Options.TCP_NODELAY, true)
             .setSocketOption(Options.BACKLOG, 1_024)
-            .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_MILLIS)
-            .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEAD_MILLIS)
-            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MOST_BODY_BYTES)
-            .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MOST_HEAD_BYTES)
+            .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, IDLE_TIMEOUT_MILLIS)
+            .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, HEAD_TIMEOUT_MILLIS)
+            .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
+            .setServerOption(UndertowOptions.MAX_HEADER_SIZE, MAX_HEAD_BYTES)
             .setServerOption(UndertowOptions.DECODE_URL, false)
             .setServerOption(UndertowOptions.ALLOW_UNESCAPED_CHARACTERS_IN_URL, true)
             .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
             .addHttpListener(settings.callers().getPort(), settings.callers().getHostString())
             .setHandler(this::handle)
             .build();
-    callers.start();
-    callers.getListenerInfo().forEach(Undertow.ListenerInfo::suspend);
+    callerListener.start();
+    callerListener.getListenerInfo().forEach(Undertow.ListenerInfo::suspend);
     loop.after(settings.holdMillis(), this::open);
-    readiness =
+    readinessListener =
         Undertow.builder()
             .setWorker(worker)
             .addHttpListener(settings.readiness().getPort(), settings.readiness().getHostString())
             .setHandler(this::answerReadiness)
             .build();
-    readiness.start();
+    readinessListener.start();
   }
 
   /**
-   * Takes callers in.
+   * Starts to accept callers.
    *
-   * <p>After a loss of power all of them knock at entries that are still starting. Refused at once,
-   * they spend their one repeat on the next entry, which is starting too, and refusing hundreds of
-   * them takes the time in which the configuration could have been read. So until it is in force,
-   * their connections are made by the system and wait unread, for a short time at the most.
+   * <p>After a power failure all callers connect to entries that are still starting. If they were
+   * refused at once, they would spend their only retry on another entry that is also starting, and
+   * refusing hundreds of them would delay reading the configuration. Until there is one,
+   * connections therefore wait in the listen backlog, up to a short time limit.
    */
   void open() {
     if (!open) {
       open = true;
       openedMillis = clock.millis();
-      callers.getListenerInfo().forEach(Undertow.ListenerInfo::resume);
+      callerListener.getListenerInfo().forEach(Undertow.ListenerInfo::resume);
     }
   }
 
   void stop() {
-    callers.stop();
-    readiness.stop();
+    callerListener.stop();
+    readinessListener.stop();
   }
 
   private void answerReadiness(HttpServerExchange exchange) {
@@ -134,7 +134,7 @@
 
   private void handle(HttpServerExchange exchange) {
     if (!configured.getAsBoolean()) {
-      turnAway(exchange);
+      refuseNotReady(exchange);
       return;
     }
     long arrived = clock.millis();
@@ -156,25 +156,26 @@
             });
   }
 
-  /** Nothing is looked at that would cost time: what is waited for is the store's answer. */
-  private void turnAway(HttpServerExchange exchange) {
-    if (turnedAway == 0) {
-      loop.after(TURNED_AWAY_LINE_MILLIS, this::logTurnedAway);
+  /** Refuses a request without parsing it, to leave time for reading the configuration. */
+  private void refuseNotReady(HttpServerExchange exchange) {
+    if (unloggedRefusals == 0) {
+      loop.after(REFUSAL_LOG_MILLIS, this::logRefusals);
     }
-    turnedAway++;
+    unloggedRefusals++;
     exchange.setStatusCode(StatusCodes.SERVICE_UNAVAILABLE);
     exchange.getResponseHeaders().put(Headers.RETRY_AFTER, RETRY_AFTER);
     exchange.endExchange();
   }
 
-  private void logTurnedAway() {
-    EventLog.log(EventType.REQUESTS_TURNED_AWAY, "cause", "not-ready", "requests", turnedAway);
-    turnedAway = 0;
+  private void logRefusals() {
+    EventLog.log(
+        EventType.REQUESTS_TURNED_AWAY, "cause", "not-ready", "requests", unloggedRefusals);
+    unloggedRefusals = 0;
   }
 
   /**
-   * Two statements of a body's length: another reader of the same bytes may believe the other one
-   * and find a request that no caller sent in what this one takes for the body.
+   * Returns whether the body's length is stated twice. An endpoint could use the other length and
+   * read part of the body as a separate request (request smuggling).
    */
   private static boolean ambiguous(HeaderMap headers) {
     HeaderValues lengths = headers.get(Headers.CONTENT_LENGTH);
@@ -191,9 +192,9 @@
             headersOf(exchange.getRequestHeaders()),
             body,
             arrived);
-    CallerAnswer caller = new CallerAnswer(exchange);
-    boolean mayHaveWaited = arrived - openedMillis < WAITED_MILLIS;
-    if (!mayHaveWaited || !caller.goneAlready()) {
+    CallerResponse caller = new CallerResponse(exchange);
+    boolean mayHaveBeenHeld = arrived - openedMillis < HELD_REQUESTS_MILLIS;
+    if (!mayHaveBeenHeld || !caller.hasDisconnected()) {
       accept.accept(request, caller);
     }
   }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardSettings.java
@@ -7,20 +7,20 @@
 import org.hornbeamusher.routes.RevocationBounds;
 
 /**
- * What an entry needs to know of its instance.
+ * The settings of an entry.
  *
- * @param instance the instance's name
- * @param zone its availability zone
- * @param callers where callers connect
- * @param readiness where it says whether it takes callers
- * @param metrics where it serves its metrics
+ * @param instance name of the instance
+ * @param zone availability zone of the instance
+ * @param callers address of the listener for callers
+ * @param readiness address of the readiness check
+ * @param metrics address of the metrics listener; empty for none
  * @param agentPort the port of every agent
- * @param drainMillis how long a leaving instance may take
- * @param list how the list of endpoints is read
- * @param holdMillis how long callers of an entry that starts wait for its configuration at the most
- * @param repeats how often requests may be sent again
- * @param revocation how soon a key that was taken away is of no use
- * @param quotas how the operators judge the quotas of client accounts
+ * @param drainMillis maximum duration of a drain
+ * @param list settings for reading the list of endpoints
+ * @param holdMillis longest time that callers wait for the configuration at startup
+ * @param repeats limits of retries
+ * @param revocation how soon a revoked key is refused
+ * @param quotas tolerated overshoot of the quotas of client accounts
  */
 public record ForwardSettings(
     String instance,
--- /dev/null
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardedRequest.java
@@ -0,0 +1,691 @@
+package org.hornbeamusher.forwarding;
+
+import java.net.URI;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+import org.hornbeamusher.accounts.AccountName;
+import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.failure.FailureType;
+import org.hornbeamusher.failure.HornbeamusherException;
+import org.hornbeamusher.failure.Outcome;
+import org.hornbeamusher.http.HttpCall;
+import org.hornbeamusher.http.HttpHead;
+import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.loop.EventLoop;
+import org.hornbeamusher.placement.EndpointView;
+import org.hornbeamusher.placement.Placement;
+import org.hornbeamusher.placement.PlacementRequest;
+import org.hornbeamusher.routes.RequestKind;
+import org.hornbeamusher.routes.Route;
+
+/**
+ * Forwards one request, from its complete body to its final response.
+ *
+ * <p>A request is always in one of four states: it waits for a permit of a rate-limited endpoint,
+ * it waits for its adapter to be loaded (a reservation without an attempt), it is at an endpoint
+ * (an attempt), or it has ended. What may follow the end of an attempt depends on whether the
+ * request ran:
+ *
+ * <ul>
+ *   <li>nothing was sent, or the endpoint states that it did not run: another endpoint may be
+ *       tried, for any kind of request;
+ *   <li>it may have run and is repeatable: another endpoint may be tried, within the route's
+ *       maximum number of attempts; a stream resumes after the last event that the caller received;
+ *   <li>it may have run and is not repeatable: the caller is told that its outcome is unknown.
+ * </ul>
+ *
+ * <p>Every further send to a service uses the retry allowance, unless the first one did not reach
+ * the endpoint. A status that guarantees "not run" is returned only if every send was refused or
+ * did not reach an endpoint.
+ */
+final class ForwardedRequest
+    implements Attempt.Listener, EngineReservation.Listener, PendingRatePermit.Listener {
+
+  /** No response arrives within this time, so a request with less time left is not sent. */
+  private static final long MIN_SEND_MILLIS = 15;
+
+  /** How long a request waits for a load or a connection before it is placed anew. */
+  private static final long PLACEMENT_RETRY_MILLIS = 100;
+
+  private static final int SERVER_ERROR = 500;
+
+  /** Another endpoint uses the address, or the endpoint lacks the requested adapter. */
+  private static final int MISDIRECTED = 421;
+
+  private static final int MAX_REFUSALS = 3;
+  private static final int MAX_UNSENT = 4;
+
+  private final ForwardContext context;
+  private final CallerRequest request;
+  private final CallerResponse caller;
+  private final Listener listener;
+  private final Set<EndpointLife> tried = new HashSet<>();
+
+  /** Endpoints to which no connection was free; they are tried again later. */
+  private final Set<EndpointLife> connectionsInUse = new HashSet<>();
+
+  private RequestLog log = new RequestLog("");
+
+  /** The admitted request; null before. */
+  private RoutedRequest routed;
+
+  private Route route;
+  private String service;
+  private PlacementRequest placementRequest;
+  private ResponseRelay relay;
+  private long deadlineMillis;
+  private EventLoop.Timer deadlineTimer;
+  private EventLoop.Timer placementTimer;
+
+  private EndpointView endpoint;
+  private PendingRatePermit permit = PendingRatePermit.NONE;
+  private EngineReservation reservation = EngineReservation.NONE;
+  private Attempt attempt;
+  private long placedMillis;
+
+  /** Earliest time at which the load could start; a load is overdue relative to this time. */
+  private long loadPossibleMillis;
+
+  private long sentMillis;
+  private long pendingPromptTokens;
+
+  /** The endpoint's pending prompt tokens when the request was sent, its own included. */
+  private long endpointPromptTokens;
+
+  private boolean promptPending;
+  private int sends;
+
+  /** Sends that may have run; if there is any, the account is charged for the request once. */
+  private int possibleRuns;
+
+  private int refusals;
+  private int unsent;
+  private boolean mayHaveRun;
+
+  /** Whether the relay holds a complete failure response that no later response has replaced. */
+  private boolean failureBuffered;
+
+  private long firstMillis = -1;
+  private boolean finished;
+
+  ForwardedRequest(
+      ForwardContext context, CallerRequest request, CallerResponse caller, Listener listener) {
+    this.context = context;
+    this.request = request;
+    this.caller = caller;
+    this.listener = listener;
+  }
+
+  void start() {
+    try {
+      admit();
+    } catch (HornbeamusherException e) {
+      fail(e);
+      return;
+    }
+    caller.onDisconnect(this::callerDisconnected);
+    deadlineTimer = context.loop().after(deadlineMillis - now(), this::deadlinePassed);
+    place();
+  }
+
+  private void admit() {
+    RequestFacts metadata = context.headerCodec().request(request.headers());
+    log = new RequestLog(metadata.id());
+    routed = context.admission().admit(request, metadata);
+    route = routed.route();
+    service = routed.service();
+    placementRequest = routed.placementRequest();
+    deadlineMillis = routed.deadlineMillis();
+    relay =
+        route.kind() == RequestKind.STREAMING
+            ? new EventStreamRelay(caller, metadata.lastEvent())
+            : new BufferedRelay(caller);
+    context.retryAllowance().recordRequest(service, now());
+  }
+
+  /** The latest useful time for the first event; a caller of a stream waits no longer for it. */
+  private long startByMillis() {
+    return route.kind() == RequestKind.STREAMING && !relay.started()
+        ? Math.min(deadlineMillis, request.arrivedMillis() + route.patienceMillis())
+        : deadlineMillis;
+  }
+
+  private void place() {
+    long now = now();
+    long remaining = startByMillis() - now;
+    Placement placement = context.placer().place(service, placementRequest, excluded(), now);
+    switch (placement) {
+      case Placement.Nowhere nowhere when !connectionsInUse.isEmpty() -> awaitConnection();
+      case Placement.Nowhere nowhere -> giveUp(noEndpoint(nowhere));
+      case Placement.At at -> {
+        if (at.rateWaitMillis() > targetLatencyLeftMillis()) {
+          giveUp(notRun(FailureType.ENDPOINT_LIMITED, service).retryAfter(at.rateWaitMillis()));
+        } else if (at.estimateMillis() > remaining || remaining < MIN_SEND_MILLIS) {
+          giveUp(notRun(FailureType.DEADLINE_TOO_NEAR));
+        } else {
+          placedAt(at, remaining);
+        }
+      }
+    }
+  }
+
+  private Set<EndpointLife> excluded() {
+    if (connectionsInUse.isEmpty()) {
+      return tried;
+    }
+    Set<EndpointLife> excluded = new HashSet<>(tried);
+    excluded.addAll(connectionsInUse);
+    return excluded;
+  }
+
+  /** Waits for a free connection, up to the target latency; beyond it, others would be late too. */
+  private void awaitConnection() {
+    connectionsInUse.clear();
+    if (pastTargetLatency()) {
+      giveUp(notRun(FailureType.CONNECTIONS_IN_USE, service, "all endpoints"));
+    } else {
+      placementTimer = context.loop().after(PLACEMENT_RETRY_MILLIS, this::place);
+    }
+  }
+
+  private HornbeamusherException noEndpoint(Placement.Nowhere nowhere) {
+    return switch (nowhere.reason()) {
+      case NO_ENDPOINT, ALL_TRIED -> notRun(FailureType.NO_ENDPOINT, service);
+      case ALL_BACK_OFF ->
+          notRun(FailureType.ENDPOINT_BACKOFF, service).retryAfter(nowhere.waitMillis());
+    };
+  }
+
+  private void placedAt(Placement.At at, long remaining) {
+    endpoint = at.endpoint();
+    placedMillis = now();
+    loadPossibleMillis = placedMillis;
+    pendingPromptTokens = endpoint.uncachedTokens(placementRequest);
+    promptPending = true;
+    log.placed(service, placementRequest, at, remaining, context, placedMillis);
+    endpoint.started(placementRequest, placedMillis);
+    if (endpoint.limit().requestsPerSecond().isEmpty()) {
+      permitGranted();
+    } else {
+      // A request waits for a rate-limited endpoint only if no other endpoint can take it now.
+      long maxWait = at.rateWaitMillis() > 0 ? targetLatencyLeftMillis() : 0;
+      permit = context.rateLimiter().request(endpoint, log.id(), maxWait, this);
+    }
+  }
+
+  @Override
+  public void permitGranted() {
+    permit = PendingRatePermit.NONE;
+    loadPossibleMillis = now();
+    boolean present = placementRequest.adapter().map(endpoint::holds).orElse(true);
+    placementRequest
+        .adapter()
+        .ifPresent(adapter -> reserve(adapter, startByMillis() - loadPossibleMillis));
+    if (present) {
+      send();
+    } else {
+      placementTimer = context.loop().after(PLACEMENT_RETRY_MILLIS, this::reconsiderPlacement);
+    }
+  }
+
+  @Override
+  public void permitRefused() {
+    placeAgain();
+  }
+
+  private void reserve(HeldAdapter adapter, long remaining) {
+    reservation =
+        context
+            .agents()
+            .reserve(
+                endpoint.life(),
+                new EngineReservation.Request(
+                    routed.metadata().id(),
+                    adapter,
+                    routed.rank(),
+                    pendingPromptTokens,
+                    now() + remaining,
+                    request.arrivedMillis() + route.targetLatencyMillis()),
+                this);
+  }
+
+  @Override
+  public void reservationGranted() {
+    if (!finished && attempt == null) {
+      context.metrics().stalled(now() - placedMillis);
+      send();
+    }
+  }
+
+  @Override
+  public void reservationLost() {
+    if (!finished && attempt == null) {
+      placeAgain();
+    }
+  }
+
+  /** Called when the reservation is lost or the endpoint accepts no requests now. */
+  private void placeAgain() {
+    if (finished || attempt != null) {
+      return;
+    }
+    log.moved(endpoint.id(), elapsedMillis());
+    releaseEndpoint();
+    place();
+  }
+
+  /**
+   * Decides whether a request keeps waiting for a load. Moving to the end of another queue gains
+   * nothing and wastes a load that has started. It therefore moves only to an endpoint that can
+   * start it at once or, if its own load is overdue, to one with a free slot.
+   *
+   * <p>Past its target latency it is refused at an engine where more adapters wait than slots
+   * become free. If it kept waiting, it would take a slot from a request that can still be in time,
+   * or get none before its caller gives up: under full load, 150 callers gave up after 2.4 to 4 s
+   * without a response.
+   */
+  private void reconsiderPlacement() {
+    if (finished || attempt != null) {
+      return;
+    }
+    HeldAdapter adapter = placementRequest.adapter().orElseThrow();
+    // The agent may not have been connected when the request was placed, so it has no reservation.
+    boolean unknown = reservation == EngineReservation.NONE && endpoint.agentConnected();
+    if (unknown || !endpoint.takesRequests(now())) {
+      placeAgain();
+      return;
+    }
+    if (!endpoint.agentConnected() && endpoint.holds(adapter)) {
+      // Without the agent there is no grant, but the list shows that the load is complete.
+      reservationGranted();
+      return;
+    }
+    if (!endpoint.holdsModel(adapter.key().model())) {
+      loadPossibleMillis = now();
+    }
+    if (!endpoint.awaits(adapter)
+        && context.placer().place(service, placementRequest, excluded(), now())
+            instanceof Placement.At at
+        && at.endpoint() != endpoint
+        && at.worthLeavingFor(now() - loadPossibleMillis)) {
+      placeAgain();
+      return;
+    }
+    if (!endpoint.awaits(adapter) && pastTargetLatency() && endpoint.crowded(now())) {
+      releaseEndpoint();
+      giveUp(notRun(FailureType.LOAD_TOO_LATE, adapter));
+      return;
+    }
+    placementTimer = context.loop().after(PLACEMENT_RETRY_MILLIS, this::reconsiderPlacement);
+  }
+
+  private boolean pastTargetLatency() {
+    return targetLatencyLeftMillis() == 0;
+  }
+
+  private long targetLatencyLeftMillis() {
+    return Math.max(0, route.targetLatencyMillis() - elapsedMillis());
+  }
+
+  private long elapsedMillis() {
+    return now() - request.arrivedMillis();
+  }
+
+  private void send() {
+    Optional<HornbeamusherException> refusal = context.admission().refusal(routed);
+    if (refusal.isPresent()) {
+      releaseEndpoint();
+      giveUp(refusal.get());
+      return;
+    }
+    if (!endpoint.takesRequests(now())) {
+      placeAgain();
+      return;
+    }
+    cancel(placementTimer);
+    reservation.requestSent();
+    sentMillis = now();
+    endpointPromptTokens = endpoint.unreadTokens();
+    sends++;
+    possibleRuns++;
+    SendFacts sent =
+        new SendFacts(
+            endpoint.id(),
+            deadlineMillis - sentMillis,
+            routed.rank(),
+            routed.accountName(),
+            relay.lastEvent());
+    URI uri = endpoint.endpoint().uri();
+    HttpCall call =
+        new HttpCall(
+            request.method(),
+            uri,
+            request.host(),
+            request.target(),
+            context.headerCodec().toEndpoint(request.headers(), sent),
+            request.body());
+    attempt = new Attempt(endpoint, context, routed.metadata().id(), this);
+    attempt.send(context.http(), call, context.maxConnections(service));
+  }
+
+  @Override
+  public void head(Attempt from, HttpHead head) {
+    failureBuffered = false;
+    if (!relay.head(head, context.headerCodec().toCaller(head))) {
+      // The response cannot continue what the caller received.
+      from.cancel();
+      ended(from, new AttemptOutcome.Failed(FailureType.ENDPOINT_FAILED));
+      return;
+    }
+    if (listener.draining()) {
+      caller.closeAfterResponse();
+    }
+  }
+
+  @Override
+  public void data(Attempt from, byte[] bytes) {
+    relay.data(bytes);
+    if (firstMillis < 0) {
+      firstMillis = elapsedMillis();
+    }
+    // The duration of a failure says nothing about how fast the endpoint processes prompts.
+    if (promptPending && from.status() < SERVER_ERROR) {
+      promptProcessed();
+      endpoint.succeeded(now() - sentMillis);
+      context.placer().promptTook(endpoint, endpointPromptTokens, now() - sentMillis);
+    }
+  }
+
+  private void promptProcessed() {
+    if (promptPending) {
+      promptPending = false;
+      endpoint.promptRead(pendingPromptTokens);
+      reservation.promptProcessed();
+    }
+  }
+
+  @Override
+  public void ended(Attempt from, AttemptOutcome end) {
+    if (finished) {
+      return;
+    }
+    AttemptOutcome outcome = classify(end);
+    log.attemptEnded(from, outcome.label(), relay, now() - sentMillis);
+    context.metrics().attemptEnded(outcome.label(), now() - sentMillis);
+    EndpointView left = endpoint;
+    releaseEndpoint();
+    switch (outcome) {
+      case AttemptOutcome.Completed completed -> completed(left, from.status());
+      case AttemptOutcome.NotSent notSent -> notSent(left);
+      case AttemptOutcome.Withdrawn withdrawn -> withdrawn();
+      case AttemptOutcome.NoConnection none -> noConnection(left);
+      case AttemptOutcome.Refused refused -> refused(left, refused.status());
+      case AttemptOutcome.Failed failed -> failed(left, failed.cause());
+    }
+  }
+
+  private AttemptOutcome classify(AttemptOutcome end) {
+    boolean cut = end instanceof AttemptOutcome.Completed && !relay.canEnd();
+    return cut ? new AttemptOutcome.Failed(FailureType.ANSWER_CUT) : end;
+  }
+
+  /**
+   * Relays a complete response. A failure of the endpoint is a response as well, but a repeatable
+   * request is retried elsewhere. The failure is kept in case no other endpoint can take the
+   * request: it ran, and the caller must not be told that it did not.
+   */
+  private void completed(EndpointView left, int status) {
+    boolean failed = status >= SERVER_ERROR;
+    if (failed) {
+      left.failed(now());
+      tried.add(left.life());
+    } else if (placementRequest.adapter().isPresent()) {
+      left.ran(now() - sentMillis);
+    }
+    if (failed && route.repeatable() && relay.canContinue() && mayRetry()) {
+      failureBuffered = true;
+      mayHaveRun = true;
+      place();
+      return;
+    }
+    relay.end();
+    finish("answered", relay.status());
+  }
+
+  private void notSent(EndpointView left) {
+    sends--;
+    possibleRuns--;
+    unsent++;
+    left.failed(now());
+    tried.add(left.life());
+    if (unsent > MAX_UNSENT) {
+      giveUp(notRun(FailureType.NO_ENDPOINT, service));
+    } else {
+      place();
+    }
+  }
+
+  /** Nothing was sent, which does not count as a failure of the endpoint. */
+  private void withdrawn() {
+    sends--;
+    possibleRuns--;
+    place();
+  }
+
+  private void noConnection(EndpointView left) {
+    connectionsInUse.add(left.life());
+    withdrawn();
+  }
+
+  private void refused(EndpointView left, int status) {
+    possibleRuns--;
+    refusals++;
+    if (status == MISDIRECTED) {
+      left.misdirected(now());
+    }
+    tried.add(left.life());
+    if (refusals > MAX_REFUSALS || !takeRetry()) {
+      giveUp(notRun(FailureType.ENDPOINT_REFUSED, left.id()));
+    } else {
+      place();
+    }
+  }
+
+  private void failed(EndpointView left, FailureType cause) {
+    mayHaveRun = true;
+    left.failed(now());
+    tried.add(left.life());
+    if (route.repeatable() && relay.canContinue() && mayRetry()) {
+      place();
+      return;
+    }
+    giveUp(HornbeamusherException.of(cause, Outcome.UNKNOWN, left.id(), cause.label()));
+  }
+
+  private boolean mayRetry() {
+    return sends < route.attempts() && takeRetry();
+  }
+
+  private boolean takeRetry() {
+    int entries = context.agents().knownEntries().orElse(1);
+    return context.retryAllowance().tryTake(service, entries, now());
+  }
+
+  /** Ends a request that no endpoint can take, as "not run" only if no send may have run. */
+  private void giveUp(HornbeamusherException refusal) {
+    if (failureBuffered) {
+      relay.end();
+      finish("answered", relay.status());
+      return;
+    }
+    if (!refusal.outcome().equals(Outcome.NOT_RUN)) {
+      fail(refusal);
+      return;
+    }
+    if (mayHaveRun) {
+      fail(HornbeamusherException.of(FailureType.RETRIES_EXHAUSTED, Outcome.UNKNOWN, service));
+      return;
+    }
+    fail(
+        refusal.retryAfterMillis().isPresent()
+            ? refusal
+            : refusal.retryAfter(RetryAfterPolicy.millis(refusal.type(), deadlineMillis - now())));
+  }
+
+  /**
+   * Called when an incarnation of an endpoint has ended or cannot be seen. If its machine is gone,
+   * the connection may stay open and silent for as long as the caller waits. Whether the request
+   * ran is unknown.
+   */
+  void endpointLost(EndpointLife incarnation) {
+    if (attempt != null && isAt(incarnation)) {
+      Attempt silent = attempt;
+      silent.cancel();
+      ended(silent, new AttemptOutcome.Failed(FailureType.ENDPOINT_LOST));
+    }
+  }
+
+  /**
+   * Called when a new incarnation with its own adapter queue has replaced an incarnation of an
+   * endpoint. A request that waits in the former queue was not sent and is placed anew.
+   */
+  void incarnationEnded(EndpointLife ended) {
+    endpointLost(ended);
+    if (attempt == null && isAt(ended)) {
+      placeAgain();
+    }
+  }
+
+  private boolean isAt(EndpointLife incarnation) {
+    return !finished && endpoint != null && endpoint.life().sameAs(incarnation);
+  }
+
+  private void deadlinePassed() {
+    if (finished) {
+      return;
+    }
+    boolean atEndpoint = attempt != null;
+    if (atEndpoint) {
+      attempt.cancel();
+    }
+    HornbeamusherException late =
+        permit == PendingRatePermit.NONE
+            ? notRun(
+                FailureType.LOAD_TOO_LATE,
+                placementRequest.adapter().map(HeldAdapter::toString).orElse(service))
+            : notRun(FailureType.ENDPOINT_LIMITED, service);
+    releaseEndpoint();
+    if (atEndpoint || mayHaveRun) {
+      fail(HornbeamusherException.of(FailureType.DEADLINE_PASSED, Outcome.UNKNOWN));
+    } else {
+      giveUp(late);
+    }
+  }
+
+  private void callerDisconnected() {
+    if (finished) {
+      return;
+    }
+    if (attempt != null) {
+      attempt.cancel();
+    }
+    releaseEndpoint();
+    finish("caller-gone", 0);
+  }
+
+  /** Ends the request because the drain time is over. */
+  void abort() {
+    if (!finished) {
+      if (attempt != null) {
+        attempt.cancel();
+      }
+      releaseEndpoint();
+      fail(HornbeamusherException.of(FailureType.SHUTTING_DOWN, Outcome.UNKNOWN));
+    }
+  }
+
+  /** Releases everything that the request holds at its endpoint. */
+  private void releaseEndpoint() {
+    cancel(placementTimer);
+    permit.cancel();
+    permit = PendingRatePermit.NONE;
+    if (endpoint != null) {
+      if (promptPending) {
+        promptPending = false;
+        endpoint.promptRead(pendingPromptTokens);
+      }
+      endpoint.ended();
+      reservation.release();
+    }
+    reservation = EngineReservation.NONE;
+    endpoint = null;
+    attempt = null;
+  }
+
+  private void fail(HornbeamusherException failure) {
+    if (finished) {
+      return;
+    }
+    if (relay != null && relay.started()) {
+      caller.abort();
+      finish(failure.type().label(), 0);
+      return;
+    }
+    int status = caller.refuse(failure, listener.draining());
+    finish(failure.type().label(), status);
+  }
+
+  private void finish(String cause, int status) {
+    if (finished) {
+      // The last write found the caller disconnected, which has already ended the request.
+      return;
+    }
+    finished = true;
+    if (routed != null && possibleRuns == 0) {
+      context.admission().refund(routed);
+    }
+    cancel(deadlineTimer);
+    cancel(placementTimer);
+    log.ended(
+        new RequestLog.Summary(
+            route == null ? "" : route.name(),
+            routed == null ? "" : routed.accountName().map(AccountName::value).orElse(""),
+            cause,
+            status,
+            elapsedMillis(),
+            firstMillis,
+            sends,
+            refusals));
+    context.metrics().requestEnded(cause, elapsedMillis(), firstMillis);
+    if (routed != null) {
+      boolean refused = CallerResponse.guaranteesNotRun(status);
+      routed.accountName().ifPresent(name -> context.metrics().accountEnded(name, refused));
+    }
+    listener.ended(this, cause);
+  }
+
+  private static void cancel(EventLoop.Timer timer) {
+    if (timer != null) {
+      timer.cancel();
+    }
+  }
+
+  private static HornbeamusherException notRun(FailureType type, Object... arguments) {
+    return HornbeamusherException.notRun(type, arguments);
+  }
+
+  private long now() {
+    return context.clock().millis();
+  }
+
+  /** Receives the end of a request. */
+  interface Listener {
+
+    /** Returns whether the instance is draining. */
+    boolean draining();
+
+    /** Called once, when the request has ended. */
+    void ended(ForwardedRequest run, String cause);
+  }
+}
--- /dev/null
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/PendingRatePermit.java
@@ -0,0 +1,94 @@
+package org.hornbeamusher.forwarding;
+
+import java.net.InetSocketAddress;
+import org.hornbeamusher.loop.EventLoop;
+import org.hornbeamusher.placement.EndpointView;
+
+/** A request's pending permit for a rate-limited endpoint. */
+final class PendingRatePermit {
+
+  /** Stands for no pending permit. */
+  static final PendingRatePermit NONE = new PendingRatePermit(null, "", 0, null);
+
+  private final EndpointView endpoint;
+  private final String requestId;
+  private final long maxWaitMillis;
+  private final Listener listener;
+
+  /** The agent that decides; null before the permit is requested and after it is granted. */
+  private InetSocketAddress agent;
+
+  private EventLoop.Timer timer = () -> {};
+  private boolean over;
+
+  PendingRatePermit(
+      EndpointView endpoint, String requestId, long maxWaitMillis, Listener listener) {
+    this.endpoint = endpoint;
+    this.requestId = requestId;
+    this.maxWaitMillis = maxWaitMillis;
+    this.listener = listener;
+  }
+
+  EndpointView endpoint() {
+    return endpoint;
+  }
+
+  String requestId() {
+    return requestId;
+  }
+
+  long maxWaitMillis() {
+    return maxWaitMillis;
+  }
+
+  /** Records the request to an agent; the timer limits the wait for its response. */
+  void requestedFrom(InetSocketAddress pacer, EventLoop.Timer timeout) {
+    agent = pacer;
+    timer = timeout;
+  }
+
+  boolean isRequestedFrom(InetSocketAddress pacer) {
+    return pacer.equals(agent);
+  }
+
+  /** Records that the permit was granted; the timer fires when it becomes valid. */
+  void grantedLater(EventLoop.Timer due) {
+    timer.cancel();
+    agent = null;
+    timer = due;
+  }
+
+  /** Cancels the wait; the listener is not called any more. */
+  void cancel() {
+    over = true;
+    timer.cancel();
+  }
+
+  void permit() {
+    if (!over) {
+      cancel();
+      listener.permitGranted();
+    }
+  }
+
+  void refuse() {
+    if (!over) {
+      cancel();
+      listener.permitRefused();
+    }
+  }
+
+  boolean over() {
+    return over;
+  }
+
+  /** Receives the decision. */
+  interface Listener {
+
+    /** The request may be sent now. */
+    void permitGranted();
+
+    /** The request may not be sent within the time that it can wait. */
+    void permitRefused();
+  }
+}
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/RepeatSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/RepeatSettings.java
@@ -1,10 +1,10 @@
 package org.hornbeamusher.forwarding;
 
 /**
- * How many sends beyond the first all entries together may make to one service.
+ * The maximum number of retries that all entries together may send to one service.
  *
- * @param share of the requests for it
- * @param fixed a number on top
- * @param windowMillis in any time of this length
+ * @param share retries per request
+ * @param fixed additional number of retries
+ * @param windowMillis length of the sliding window for which both apply
  */
 public record RepeatSettings(double share, double fixed, long windowMillis) {}
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/RequestIntake.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/RequestAdmission.java
@@ -19,10 +19,10 @@
 import org.hornbeamusher.routing.Rendezvous;
 
 /**
- * Decides whether a request is admitted, and as what: its route, its client account, its account's
- * quota and its deadline, in this order. Whatever it refuses has not run.
+ * Admits or refuses requests: determines the route and the client account, charges the account's
+ * quota and sets the deadline, in this order. A refused request has not run.
  */
-final class RequestIntake {
+final class RequestAdmission {
 
   private final ConfigurationInForce configuration;
   private final VersionsInForce versions;
@@ -31,7 +31,7 @@
   private final UsageExchange usage;
   private final Clock clock;
 
-  RequestIntake(
+  RequestAdmission(
       ConfigurationInForce configuration,
       VersionsInForce versions,
       AccountCheck accounts,
@@ -49,72 +49,73 @@
   /**
    * Admits a request.
    *
-   * @throws HornbeamusherException when it is refused
+   * @throws HornbeamusherException if it is refused
    */
-  RoutedRequest admit(CallerRequest request, RequestFacts facts) {
+  RoutedRequest admit(CallerRequest request, RequestFacts metadata) {
     Configuration current =
         configuration
             .current()
             .orElseThrow(
                 () ->
                     HornbeamusherException.notRun(FailureType.NOT_READY)
-                        .retryAfter(ReturnTime.NEXT_LIST_MILLIS));
+                        .retryAfter(RetryAfterPolicy.NEXT_LIST_MILLIS));
     Route route =
         current
             .match(request.hostName(), request.path())
             .orElseThrow(
                 () -> HornbeamusherException.notRun(FailureType.UNKNOWN_PATH, request.path()));
-    Optional<ClientAccount> account = identify(current, route, facts);
-    long hash = Rendezvous.hash(facts.id());
-    long budget = Math.min(route.timeoutMillis(), facts.budgetMillis().orElse(Long.MAX_VALUE));
+    Optional<ClientAccount> account = identify(current, route, metadata);
+    long hash = Rendezvous.hash(metadata.id());
+    long budget = Math.min(route.timeoutMillis(), metadata.budgetMillis().orElse(Long.MAX_VALUE));
     return new RoutedRequest(
-        facts,
+        metadata,
         route,
         route.service(hash),
         account,
-        account.map(holder -> charge(holder, facts, current)),
+        account.map(holder -> charge(holder, metadata, current)),
         request.arrivedMillis() + budget,
         new PlacementRequest(
             hash,
-            facts.adapter().map(key -> new HeldAdapter(key, versions.of(key))),
-            facts.promptTokens(),
-            facts.outputTokens(),
+            metadata.adapter().map(key -> new HeldAdapter(key, versions.of(key))),
+            metadata.promptTokens(),
+            metadata.outputTokens(),
             request.body().length,
-            facts.parts()));
+            metadata.parts()));
   }
 
-  /** Checks a request again that is about to be sent; empty when it may be. */
+  /** Checks a request again before it is sent; returns empty if it may be sent. */
   Optional<HornbeamusherException> refusal(RoutedRequest request) {
     Optional<HornbeamusherException> refusal =
         configuration.current().flatMap(current -> accounts.refusal(current, request));
     refusal.ifPresent(
         why ->
             log(
-                request.facts(),
+                request.metadata(),
                 request.accountName().map(Object::toString).orElse(""),
                 why.type(),
                 configuration.current().map(Configuration::version).orElse(0L)));
     return refusal;
   }
 
-  /** Gives back what a request has taken of its account's quota that has not run. */
-  void notRun(RoutedRequest request) {
+  /** Refunds the quota charge of a request that did not run. */
+  void refund(RoutedRequest request) {
     request.charge().ifPresent(charge -> meter.giveBack(charge, clock.millis()));
   }
 
-  private Optional<ClientAccount> identify(Configuration current, Route route, RequestFacts facts) {
+  private Optional<ClientAccount> identify(
+      Configuration current, Route route, RequestFacts metadata) {
     try {
-      return accounts.identify(current, route, facts);
+      return accounts.identify(current, route, metadata);
     } catch (HornbeamusherException e) {
-      log(facts, "", e.type(), current.version());
+      log(metadata, "", e.type(), current.version());
       throw e.type() == FailureType.KEY_UNCONFIRMED
-          ? e.retryAfter(ReturnTime.OTHER_ENTRY_MILLIS)
+          ? e.retryAfter(RetryAfterPolicy.OTHER_ENTRY_MILLIS)
           : e;
     }
   }
 
-  private QuotaCharge charge(ClientAccount account, RequestFacts facts, Configuration current) {
-    long cost = account.quota().cost(facts.tokens());
+  private QuotaCharge charge(ClientAccount account, RequestFacts metadata, Configuration current) {
+    long cost = account.quota().cost(metadata.tokens());
     return switch (meter.admit(account.name(), cost, clock.millis())) {
       case QuotaDecision.Admitted admitted -> {
         usage.changed(account.name());
@@ -124,7 +125,7 @@
         EventLog.log(
             EventType.ACCOUNT_REFUSED,
             "id",
-            facts.id(),
+            metadata.id(),
             "account",
             account.name(),
             "cause",
@@ -149,11 +150,11 @@
     };
   }
 
-  private void log(RequestFacts facts, String account, FailureType cause, long version) {
+  private void log(RequestFacts metadata, String account, FailureType cause, long version) {
     EventLog.log(
         EventType.ACCOUNT_REFUSED,
         "id",
-        facts.id(),
+        metadata.id(),
         "account",
         account,
         "cause",
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/RequestFacts.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/RequestFacts.java
@@ -8,18 +8,18 @@
 import org.hornbeamusher.routes.AdapterKey;
 
 /**
- * What a request's headers say.
+ * The metadata in a request's headers.
  *
- * @param id the request's id; each try of a caller has its own
- * @param budgetMillis how long the caller waits; empty when it does not say
- * @param adapter what it is to run on; empty at a plain service
- * @param promptTokens length of its prompt, 0 when it does not say
- * @param outputTokens most tokens of its answer, 0 when it does not say
- * @param sized whether it states the two lengths
- * @param parts the parts of its prompt in order
- * @param lastEvent the last event the caller has; empty for a stream from its start
- * @param keys the account keys that it carries, in order; a proper request has one at the most
- * @param emptyKey whether it carries a key without a text
+ * @param id the id of the request; a caller uses a new one for each try
+ * @param budgetMillis how long the caller waits; empty if not stated
+ * @param adapter the adapter to run it on; empty for a plain service
+ * @param promptTokens length of the prompt; 0 if not stated
+ * @param outputTokens maximum length of the output; 0 if not stated
+ * @param sized whether both lengths are stated
+ * @param parts the parts of the prompt in order
+ * @param lastEvent the last event that the caller received; empty for a stream from the start
+ * @param keys the account keys in order; a valid request has at most one
+ * @param emptyKey whether there is a key header without a value
  */
 public record RequestFacts(
     String id,
@@ -42,7 +42,7 @@
   /**
    * Returns the size of the request.
    *
-   * @return prompt and output tokens together; empty when the request does not state them
+   * @return the sum of prompt and output tokens; empty if not stated
    */
   public OptionalLong tokens() {
     return sized ? OptionalLong.of((long) promptTokens + outputTokens) : OptionalLong.empty();
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/RequestLog.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/RequestLog.java
@@ -11,19 +11,19 @@
 import org.hornbeamusher.routes.Configuration;
 
 /**
- * The lines that one request leaves in the log: each decision with what decided it.
+ * Logs the events of one request: each decision with its inputs.
  *
- * @param id the caller's; empty when its headers could not be read
+ * @param id the request id of the caller; empty if the headers could not be parsed
  */
 record RequestLog(String id) {
 
-  /** It goes to an endpoint, at once or after a load. */
+  /** Logs that the request was placed at an endpoint, to be sent at once or after a load. */
   void placed(
       String service,
       PlacementRequest request,
       Placement.At at,
       long remainingMillis,
-      ForwardState state,
+      ForwardContext context,
       long now) {
     EventLog.log(
         EventType.REQUEST_PLACED,
@@ -50,26 +50,26 @@
         "running",
         at.endpoint().running(),
         "limit_per_s",
-        EndpointLimits.text(at.endpoint().limit().requestsPerSecond()),
+        EndpointRateLimiter.text(at.endpoint().limit().requestsPerSecond()),
         "backoff_ms",
         at.endpoint().availability().backoffMillis(now),
         "stated_leaving",
         at.endpoint().availability().leaving(),
         "listed",
-        !state.directory().missing(at.endpoint().id()),
+        !context.directory().missing(at.endpoint().id()),
         "configuration",
-        state.configuration().current().map(Configuration::version).orElse(0L),
+        context.configuration().current().map(Configuration::version).orElse(0L),
         "list_age_ms",
-        state.directory().ageMillis(now));
+        context.directory().ageMillis(now));
   }
 
-  /** It leaves the line of an endpoint for that of another. */
+  /** Logs that the request leaves the queue of an endpoint and is placed anew. */
   void moved(EndpointId from, long waitedMillis) {
     EventLog.log(EventType.REQUEST_MOVED, "id", id, "from", from, "waited_ms", waitedMillis);
   }
 
-  /** An endpoint's part in it is over. */
-  void attemptEnded(Attempt attempt, String end, AnswerRelay relay, long tookMillis) {
+  /** Logs the end of an attempt. */
+  void attemptEnded(Attempt attempt, String end, ResponseRelay relay, long tookMillis) {
     EventLog.log(
         EventType.ATTEMPT_ENDED,
         "id",
@@ -89,11 +89,11 @@
         "last_event",
         relay.lastEvent().orElse(-1),
         "stated_limit_per_s",
-        text(attempt.facts().limit()),
+        text(attempt.metadata().limit()),
         "stated_retry_after_ms",
-        text(attempt.facts().retryAfter()),
+        text(attempt.metadata().retryAfter()),
         "stated_leaving",
-        attempt.facts().leaving());
+        attempt.metadata().leaving());
   }
 
   private static String text(StatedRetryAfter stated) {
@@ -112,8 +112,8 @@
     };
   }
 
-  /** It has its final answer, or its caller has gone. */
-  void ended(End end) {
+  /** Logs the end of the request: its final response was sent or its caller disconnected. */
+  void ended(Summary end) {
     EventLog.log(
         EventType.REQUEST_ENDED,
         "id",
@@ -139,16 +139,16 @@
   /**
    * How a request ended.
    *
-   * @param route its route's name; empty when none matched
-   * @param account the client account's name; empty when there is none or it was refused
+   * @param route name of the route; empty if none matched
+   * @param account name of the client account; empty if there is none or it was refused
    * @param cause the failure's label, or {@code answered}
-   * @param status what the caller got; 0 when its connection ended
-   * @param tookMillis from its arrival
-   * @param firstMillis from its arrival to the first byte of its answer; -1 for none
-   * @param sends attempts that reached an endpoint
-   * @param refusals of endpoints that did not run it
+   * @param status the status sent to the caller; 0 if its connection ended
+   * @param tookMillis time since its arrival
+   * @param firstMillis time from its arrival to the first byte of the response; -1 if none
+   * @param sends number of attempts that reached an endpoint
+   * @param refusals number of refusals by endpoints, which did not run it
    */
-  record End(
+  record Summary(
       String route,
       String account,
       String cause,
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/RoutedRequest.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/RoutedRequest.java
@@ -9,26 +9,26 @@
 import org.hornbeamusher.routes.Route;
 
 /**
- * A caller's request that was admitted.
+ * An admitted request.
  *
- * @param facts what its headers say
+ * @param metadata the metadata in its headers
  * @param route its route
  * @param service the service that runs it
- * @param account whom it is run for; empty where callers need no key
- * @param charge what it has taken of its account's quota
- * @param deadlineMillis when an answer is of no use any more
- * @param placing what decides where it runs
+ * @param account its client account; empty if no key is required
+ * @param charge its charge on the account's quota
+ * @param deadlineMillis time after which a response is useless
+ * @param placementRequest the inputs of placement
  */
 record RoutedRequest(
-    RequestFacts facts,
+    RequestFacts metadata,
     Route route,
     String service,
     Optional<ClientAccount> account,
     Optional<QuotaCharge> charge,
     long deadlineMillis,
-    PlacementRequest placing) {
+    PlacementRequest placementRequest) {
 
-  /** The urgency of the account goes before that of the route. */
+  /** Returns the priority; the account's takes precedence over the route's. */
   int rank() {
     return account.map(ClientAccount::rank).orElse(OptionalInt.empty()).orElse(route.rank());
   }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/SendFacts.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/SendFacts.java
@@ -6,13 +6,13 @@
 import org.hornbeamusher.ids.EndpointId;
 
 /**
- * What an endpoint is told with a request.
+ * The metadata sent to an endpoint with a request.
  *
- * @param endpoint the one that is meant; another one at its address refuses the request
- * @param remainingMillis how long an answer is of use
- * @param rank the request's urgency, 0 first
- * @param account the client account that it is run for; empty for an anonymous caller
- * @param lastEvent the last event the caller has; the endpoint goes on after it
+ * @param endpoint the expected endpoint; a different one at its address refuses the request
+ * @param remainingMillis time until the deadline
+ * @param rank the priority, 0 for the highest
+ * @param account the client account; empty for an anonymous caller
+ * @param lastEvent the last event that the caller received; the endpoint resumes after it
  */
 public record SendFacts(
     EndpointId endpoint,
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/WindowCount.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/SlidingWindowCounter.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.forwarding;
 
-/** Counts events of the last seconds, in steps of a tenth of a second. */
-final class WindowCount {
+/** Counts events in a sliding window, in steps of 100 ms. */
+final class SlidingWindowCounter {
 
   private static final long STEP_MILLIS = 100;
 
@@ -9,7 +9,7 @@
   private long step = Long.MIN_VALUE;
   private long total;
 
-  WindowCount(long windowMillis) {
+  SlidingWindowCounter(long windowMillis) {
     this.counts = new long[Math.toIntExact(windowMillis / STEP_MILLIS)];
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/UsageExchange.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/UsageExchange.java
@@ -14,13 +14,13 @@
 import org.hornbeamusher.wire.Message;
 
 /**
- * Reports an entry's usage of client accounts' quotas to two of the agents it is connected to, and
- * takes what they add up. All entries choose the same two by rendezvous, so that each receives the
- * usage of all.
+ * Reports an entry's usage of client account quotas to two of its connected agents and receives the
+ * aggregated usage of all entries. All entries choose the same two agents by rendezvous hashing, so
+ * that each of them receives the usage of all entries.
  */
-final class UsageExchange implements EngineAgents.UsageListener {
+final class UsageExchange implements AgentConnections.UsageListener {
 
-  private static final int RELAYS = 2;
+  private static final int RELAY_COUNT = 2;
 
   private final QuotaMeter<InetSocketAddress> meter;
   private final QuotaSettings settings;
@@ -51,7 +51,7 @@
     void send(InetSocketAddress agent, Message message);
   }
 
-  /** Starts to report; does nothing when it has started or no account has a quota. */
+  /** Starts reporting; does nothing if already started or if no account has a quota. */
   void start() {
     if (!started && meter.active()) {
       started = true;
@@ -76,7 +76,7 @@
     meter.relayed(agent, update.increments(), update.reachable(), update.entries(), clock.millis());
   }
 
-  /** The usage of an account has changed here. */
+  /** Called when the usage of an account has changed at this entry. */
   void changed(AccountName account) {
     if (!reportingSoon && meter.urgent(account, clock.millis())) {
       reportingSoon = true;
@@ -103,7 +103,7 @@
   private List<InetSocketAddress> relays() {
     return connected.stream()
         .sorted(Comparator.comparingLong(agent -> Rendezvous.hash(agent.toString())))
-        .limit(RELAYS)
+        .limit(RELAY_COUNT)
         .toList();
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The path of a request from a caller to an endpoint and back, without a protocol of its own: the
- * endpoint's answer is the caller's answer.
+ * Forwards requests from callers to endpoints and relays the responses, without an additional
+ * protocol between them.
  */
 package org.hornbeamusher.forwarding;
--- a/runtime/src/main/java/org/hornbeamusher/ratelimit/EndpointLimit.java
+++ b/runtime/src/main/java/org/hornbeamusher/ratelimit/EndpointLimit.java
@@ -3,82 +3,81 @@
 import java.util.OptionalDouble;
 
 /**
- * The rate of requests that one incarnation of an endpoint takes, by its own answers.
+ * The request rate limit of one incarnation of an endpoint, as advertised in its responses.
  *
- * <p>Answers overtake each other. One that states no limit lifts it only if its request was sent
- * after the last answer that stated one had arrived; an earlier one may have been written before
- * the limit.
+ * <p>Responses may arrive out of order. One without a limit therefore lifts the limit only if its
+ * request was sent after the last response with a limit had arrived; otherwise it may have been
+ * written before the limit.
  */
 public final class EndpointLimit {
 
   private OptionalDouble requestsPerSecond = OptionalDouble.empty();
-  private long statedMillis = Long.MIN_VALUE;
-  private long deferredMillis = Long.MIN_VALUE / 2;
+  private long advertisedMillis = Long.MIN_VALUE;
+  private long deferredUntilMillis = Long.MIN_VALUE / 2;
 
   /**
-   * Takes what an answer of the endpoint says.
+   * Records the limit in a response of the endpoint.
    *
-   * @param stated what it says
-   * @param succeeded whether it is an answer to the request and not a failure or a refusal, which
-   *     need not state the limit
+   * @param advertised the advertised limit
+   * @param succeeded whether the response is a success; failures and refusals may omit the limit
    * @param sentMillis when its request was sent
-   * @param now milliseconds
-   * @return whether the limit in force has changed
+   * @param now current time in milliseconds
+   * @return whether the current limit has changed
    */
-  public boolean answered(StatedLimit stated, boolean succeeded, long sentMillis, long now) {
+  public boolean answered(StatedLimit advertised, boolean succeeded, long sentMillis, long now) {
     OptionalDouble before = requestsPerSecond;
-    switch (stated) {
+    switch (advertised) {
       case StatedLimit.PerSecond limit -> {
         requestsPerSecond = OptionalDouble.of(limit.requestsPerSecond());
-        statedMillis = now;
+        advertisedMillis = now;
       }
       case StatedLimit.None none -> {
-        if (succeeded && sentMillis >= statedMillis) {
+        if (succeeded && sentMillis >= advertisedMillis) {
           requestsPerSecond = OptionalDouble.empty();
         }
       }
       case StatedLimit.Unreadable unreadable -> {
-        // What stands is the best that is known.
+        // Keeps the current limit.
       }
     }
     return !before.equals(requestsPerSecond);
   }
 
   /**
-   * Returns the limit in force.
+   * Returns the current limit.
    *
-   * @return requests a second from all entries together; empty while the endpoint states none
+   * @return requests a second from all entries together; empty if the endpoint has no limit
    */
   public OptionalDouble requestsPerSecond() {
     return requestsPerSecond;
   }
 
   /**
-   * No request is permitted for a while.
+   * Records that no request will be permitted for a while.
    *
-   * @param waitMillis for so long
-   * @param now milliseconds
+   * @param waitMillis for how long
+   * @param now current time in milliseconds
    */
   public void defer(long waitMillis, long now) {
-    deferredMillis = Math.max(deferredMillis, now + waitMillis);
+    deferredUntilMillis = Math.max(deferredUntilMillis, now + waitMillis);
   }
 
   /**
-   * Returns how long a request has to wait for a permit.
+   * Returns how long a request has to wait for a permit, as far as known.
    *
-   * @param now milliseconds
-   * @return as far as known; 0 while the endpoint states no limit
+   * @param now current time in milliseconds
+   * @return milliseconds; 0 if the endpoint has no limit
    */
   public long waitMillis(long now) {
-    return requestsPerSecond.isPresent() ? Math.max(0, deferredMillis - now) : 0;
+    return requestsPerSecond.isPresent() ? Math.max(0, deferredUntilMillis - now) : 0;
   }
 
   /**
-   * Returns when an answer stated the limit last.
+   * Returns when a response last advertised the limit.
    *
-   * @return milliseconds; of no meaning while there is no limit
+   * @return milliseconds; undefined if there is no limit
    */
   public long statedMillis() {
-    return statedMillis;
+    return advertisedMillis;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/ratelimit/PermitDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/ratelimit/PermitDecision.java
@@ -1,19 +1,19 @@
 package org.hornbeamusher.ratelimit;
 
-/** Whether a request may be sent to an endpoint that limits the rate of its requests. */
+/** Whether a request may be sent to a rate-limited endpoint. */
 public sealed interface PermitDecision {
 
   /**
-   * It may be sent.
+   * It may be sent, possibly after a wait.
    *
-   * @param waitMillis after so long
+   * @param waitMillis length of the wait; 0 for none
    */
   record Granted(long waitMillis) implements PermitDecision {}
 
   /**
    * It may not be sent within the time that it can wait.
    *
-   * @param waitMillis when the next permit is free
+   * @param waitMillis time until the next permit is available
    */
   record Refused(long waitMillis) implements PermitDecision {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/ratelimit/RatePermits.java
+++ b/runtime/src/main/java/org/hornbeamusher/ratelimit/RatePermits.java
@@ -5,89 +5,89 @@
 import org.hornbeamusher.ids.EndpointId;
 
 /**
- * Permits of all entries to send requests to endpoints that limit their rate.
+ * Issues permits to all entries for sending requests to rate-limited endpoints.
  *
- * <p><b>Load.</b> An endpoint in need states how many requests a second it takes from all entries
- * together. Entries that each keep to the limit exceed it by their number; even shares leave most
- * of it unused where callers reach entries unevenly, and with few requests a second a share is less
- * than one request in a window.
+ * <p><b>Load.</b> An overloaded endpoint advertises how many requests a second it accepts from all
+ * entries together. If each entry kept to the limit by itself, they would exceed it by a factor of
+ * their number. Even shares leave most of it unused if callers are spread unevenly over entries,
+ * and at a few requests a second a share is less than one request per window.
  *
- * <p><b>Algorithm.</b> All entries ask one process, which paces the requests. It takes the limit
- * from those that ask, the latest statement first. An entry whose answer states no limit any more
- * reports that, and the others are then permitted at once. Nothing here has to survive: a successor
- * starts with the burst of one second. Incarnations of an endpoint share one limit, since some
- * entries may not know when it started.
+ * <p><b>Algorithm.</b> All entries request permits from one process, which paces the requests. It
+ * takes the limit from the entries; the most recently advertised one applies. An entry that
+ * receives a response without a limit reports it, and all entries are then permitted at once. The
+ * state need not be persisted: a successor starts with a burst of one second. The incarnations of
+ * an endpoint share one limit, because some entries may not know its start time.
  *
- * <p>Rejected: usage that entries exchange, as for quotas. Its error is one request for each entry
- * and update, which is nothing beside a quota in tokens and several times a limit of one request a
+ * <p>Rejected: exchanging usage between entries, as for quotas. Its error is one request per entry
+ * and update, which is negligible for a quota in tokens but several times a limit of one request a
  * second.
  */
 public final class RatePermits {
 
   /**
-   * A limit of less is taken for this one: an endpoint that takes nothing now and is sent nothing
-   * could never state that it takes requests again.
+   * Lower limits are raised to this one. An endpoint with a limit of 0 that is sent no requests
+   * could never advertise a higher one.
    */
-  static final double LEAST_PER_SECOND = 0.25;
+  static final double MIN_REQUESTS_PER_SECOND = 0.25;
 
-  /** An endpoint that nobody has asked for is forgotten, and with it the order of statements. */
-  private static final long FORGOTTEN_MILLIS = 60_000;
+  /** Idle time after which an endpoint is removed, with the times of its advertised limits. */
+  private static final long IDLE_RETENTION_MILLIS = 60_000;
 
-  private final Map<EndpointId, Paced> endpoints = new HashMap<>();
+  private final Map<EndpointId, EndpointState> endpoints = new HashMap<>();
   private long nextSweepMillis;
 
   /**
-   * Decides about a request.
+   * Decides whether a request may be sent.
    *
-   * @param endpoint where it is to be sent
-   * @param perSecond the limit as the asking entry knows it
-   * @param statedMillis when the endpoint stated that
-   * @param mostWaitMillis how long the request can wait
-   * @param now milliseconds
-   * @return whether it may be sent
+   * @param endpoint the destination
+   * @param perSecond the limit known to the requesting entry
+   * @param advertisedMillis when the endpoint advertised it
+   * @param maxWaitMillis how long the request can wait
+   * @param now current time in milliseconds
+   * @return the decision
    */
   public PermitDecision permit(
-      EndpointId endpoint, double perSecond, long statedMillis, long mostWaitMillis, long now) {
-    Paced paced = paced(endpoint, now);
-    if (statedMillis > paced.statedMillis) {
-      paced.statedMillis = statedMillis;
-      paced.perSecond = perSecond;
+      EndpointId endpoint, double perSecond, long advertisedMillis, long maxWaitMillis, long now) {
+    EndpointState state = endpointState(endpoint, now);
+    if (advertisedMillis > state.advertisedMillis) {
+      state.advertisedMillis = advertisedMillis;
+      state.perSecond = perSecond;
     }
-    if (paced.liftedMillis > paced.statedMillis) {
+    if (state.liftedMillis > state.advertisedMillis) {
       return new PermitDecision.Granted(0);
     }
-    double rate = Math.max(LEAST_PER_SECOND, paced.perSecond);
-    return paced.pacer.permit(rate, mostWaitMillis, now);
+    double rate = Math.max(MIN_REQUESTS_PER_SECOND, state.perSecond);
+    return state.pacer.tryAcquire(rate, maxWaitMillis, now);
   }
 
   /**
-   * An endpoint has stated no limit.
+   * Records that an endpoint no longer advertises a limit.
    *
    * @param endpoint the endpoint
-   * @param sentMillis when the request was sent whose answer showed it
-   * @param now milliseconds
+   * @param sentMillis when the request whose response had no limit was sent
+   * @param now current time in milliseconds
    */
   public void lifted(EndpointId endpoint, long sentMillis, long now) {
-    Paced paced = paced(endpoint, now);
-    paced.liftedMillis = Math.max(paced.liftedMillis, sentMillis);
+    EndpointState state = endpointState(endpoint, now);
+    state.liftedMillis = Math.max(state.liftedMillis, sentMillis);
   }
 
-  private Paced paced(EndpointId endpoint, long now) {
+  private EndpointState endpointState(EndpointId endpoint, long now) {
     if (now >= nextSweepMillis) {
-      nextSweepMillis = now + FORGOTTEN_MILLIS;
-      endpoints.values().removeIf(paced -> now - paced.usedMillis >= FORGOTTEN_MILLIS);
+      nextSweepMillis = now + IDLE_RETENTION_MILLIS;
+      endpoints.values().removeIf(state -> now - state.lastUsedMillis >= IDLE_RETENTION_MILLIS);
     }
-    Paced paced = endpoints.computeIfAbsent(endpoint, unused -> new Paced());
-    paced.usedMillis = now;
-    return paced;
+    EndpointState state = endpoints.computeIfAbsent(endpoint, unused -> new EndpointState());
+    state.lastUsedMillis = now;
+    return state;
   }
 
-  private static final class Paced {
+  private static final class EndpointState {
 
     private final RequestPacer pacer = new RequestPacer();
     private double perSecond;
-    private long statedMillis = Long.MIN_VALUE;
+    private long advertisedMillis = Long.MIN_VALUE;
     private long liftedMillis = Long.MIN_VALUE;
-    private long usedMillis;
+    private long lastUsedMillis;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/ratelimit/StatedLimit.java
+++ b/runtime/src/main/java/org/hornbeamusher/ratelimit/StatedLimit.java
@@ -2,27 +2,27 @@
 
 import java.util.Optional;
 
-/** What an endpoint's answer says of the rate of requests that the endpoint takes. */
+/** The request rate limit advertised in a response of an endpoint. */
 public sealed interface StatedLimit {
 
   /**
-   * The endpoint takes this many requests a second, from all entries together.
+   * The endpoint accepts a number of requests a second from all entries together.
    *
    * @param requestsPerSecond at least 0
    */
   record PerSecond(double requestsPerSecond) implements StatedLimit {}
 
-  /** The answer states no limit. */
+  /** The response contains no limit. */
   record None() implements StatedLimit {}
 
-  /** The answer states a limit that cannot be read; it neither sets nor lifts one. */
+  /** The response contains an invalid limit, which neither sets nor lifts one. */
   record Unreadable() implements StatedLimit {}
 
   /**
-   * Reads a limit.
+   * Parses a limit.
    *
-   * @param text a decimal number of requests a second; empty where the answer states none
-   * @return what it says
+   * @param text a decimal number of requests a second; empty if the response has no limit
+   * @return the limit
    */
   static StatedLimit parse(Optional<String> text) {
     if (text.isEmpty()) {
--- a/runtime/src/main/java/org/hornbeamusher/ratelimit/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/ratelimit/package-info.java
@@ -1,2 +1,2 @@
-/** The request rates that endpoints state in their answers, and how all entries keep to them. */
+/** Enforces the request rate limits that endpoints advertise in their responses. */
 package org.hornbeamusher.ratelimit;
--- a/runtime/src/test/java/org/hornbeamusher/forwarding/EngineAgentsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/forwarding/AgentConnectionsTest.java
@@ -18,7 +18,7 @@
 import org.hornbeamusher.wire.WireTransport;
 import org.junit.jupiter.api.Test;
 
-class EngineAgentsTest {
+class AgentConnectionsTest {
 
   private static final InetSocketAddress ENGINE = new InetSocketAddress("127.0.0.1", 1);
   private static final InetSocketAddress OTHER = new InetSocketAddress("127.0.0.1", 2);
@@ -28,17 +28,17 @@
   private final List<InetSocketAddress> stopped = new ArrayList<>();
   private final WireConnection connection = new SilentConnection();
   private WireListener opened;
-  private final EngineAgents agents =
-      new EngineAgents(
+  private final AgentConnections agents =
+      new AgentConnections(
           new HashMap<>(),
           new Message.Hello(1, 1, "entry", "e", 0, "z", "", ""),
-          new Connections(),
+          new RecordingTransport(),
           loop,
           loop.clock());
 
-  /** Guards against an agent that is dropped at once because no list has changed for long. */
+  /** Guards against closing a connection early if no list has changed for a long time. */
   @Test
-  void agentIsKeptFromTheMomentAtWhichItsEngineIsNotListedAnyMore() {
+  void connectionIsKeptForTheRetentionTimeAfterTheEngineIsUnlisted() {
     agents.connect(List.of(ENGINE, OTHER));
     loop.runUntil(10 * KEPT_MILLIS);
     agents.connect(List.of(OTHER));
@@ -51,9 +51,9 @@
     assertEquals(List.of(ENGINE), stopped);
   }
 
-  /** Guards against absences of an engine that are added up. */
+  /** Guards against adding up separate absences of an engine from the list. */
   @Test
-  void agentOfAnEngineThatIsListedAgainIsKept() {
+  void connectionIsKeptIfTheEngineIsListedAgain() {
     agents.connect(List.of(ENGINE));
     agents.connect(List.of());
     loop.runUntil(KEPT_MILLIS - 1);
@@ -63,9 +63,9 @@
     assertEquals(List.of(), stopped);
   }
 
-  /** Guards against an entry that takes all that entries share when it loses its agents. */
+  /** Guards against an entry that uses the shares of all entries when it loses its agents. */
   @Test
-  void otherEntriesCountAlsoWhenAllAgentsAreLost() {
+  void entryCountIsKeptWhenAllAgentsAreLost() {
     assertEquals(OptionalInt.empty(), agents.knownEntries());
     assertEquals(QuotaSettings.DEFAULT.assumedEntries(), agents.entries());
     agents.connect(List.of(ENGINE));
@@ -78,7 +78,7 @@
     assertEquals(5, agents.entries());
   }
 
-  private final class Connections implements WireTransport {
+  private final class RecordingTransport implements WireTransport {
 
     @Override
     public WireService listen(InetSocketAddress at, Message.Hello own, WireListener listener) {
@@ -100,7 +100,7 @@
     }
   }
 
-  /** Takes everything and says nothing. */
+  /** Accepts every message and receives none. */
   private static final class SilentConnection implements WireConnection {
 
     @Override
--- a/runtime/src/test/java/org/hornbeamusher/forwarding/ConnectionShareTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/forwarding/ConnectionShareTest.java
@@ -8,12 +8,12 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** How entries divide the connections that an endpoint accepts. */
+/** Tests how entries divide the connections that an endpoint accepts. */
 class ConnectionShareTest {
 
-  /** Entries together opened more connections than an endpoint accepts. */
+  /** Guards against entries that together open more connections than an endpoint accepts. */
   @Property(seed = "36")
-  void allEntriesTogetherStayBelowWhatIsAccepted(
+  void sharesOfAllEntriesStayWithinTheLimit(
       @ForAll @IntRange(min = 1, max = 400) int entries,
       @ForAll @IntRange(min = 0, max = 2_000) int spare) {
     int accepted = entries + 2 + spare;
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void eachEntryHasOneAndNoLimitIsNoLimit() {
+  void shareIsAtLeastOneAndUnlimitedWithoutLimit() {
     assertEquals(1, ConnectionShare.of(3, 400));
     assertEquals(Integer.MAX_VALUE, ConnectionShare.of(0, 4));
   }
--- a/runtime/src/test/java/org/hornbeamusher/forwarding/ForwardingDecisionsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/forwarding/ForwardingDecisionsTest.java
@@ -17,16 +17,16 @@
   private static final RepeatSettings REPEATS = new RepeatSettings(0.2, 56, 10_000);
 
   @Test
-  void eventIsGivenOutOnlyWhenItIsWhole() {
+  void eventIsReturnedOnlyWhenComplete() {
     EventSplitter splitter = new EventSplitter();
     assertEquals(List.of("id: 1\n\n"), texts(splitter.take(bytes("id: 1\n\nid: 2\nda"))));
-    assertEquals("id: 2\nda", new String(splitter.rest(), StandardCharsets.UTF_8));
+    assertEquals("id: 2\nda", new String(splitter.incompleteBytes(), StandardCharsets.UTF_8));
     List<EventSplitter.Event> second = splitter.take(bytes("ta: x\r\n\r\n"));
     assertEquals(2, second.get(0).id().orElseThrow());
-    assertEquals(0, splitter.rest().length);
+    assertEquals(0, splitter.incompleteBytes().length);
   }
 
-  /** However the bytes of a stream are cut on the way, the same events come out, and every byte. */
+  /** Splitting the bytes of a stream differently yields the same events, without losing a byte. */
   @Property(tries = 200, seed = "42")
   void eventsDoNotDependOnHowBytesArrive(
       @ForAll @Size(max = 30) List<@IntRange(min = 1, max = 9) Integer> cuts) {
@@ -46,17 +46,17 @@
   }
 
   /**
-   * Every endpoint of a service fails. Each entry repeats what it may, and all five together stay
-   * within what the operators allow in any ten seconds.
+   * All endpoints of a service fail and each of five entries retries as often as it may. Together
+   * they stay within the configured limit for any ten seconds.
    */
   @Test
-  void entriesTogetherStayWithinTheAllowance() {
+  void allEntriesStayWithinTheRetryAllowance() {
     int entries = 5;
     int granted = 0;
     for (int entry = 0; entry < entries; entry++) {
-      RepeatAllowance allowance = new RepeatAllowance(REPEATS);
+      RetryAllowance allowance = new RetryAllowance(REPEATS);
       for (int i = 0; i < 100; i++) {
-        allowance.requested("s", i);
+        allowance.recordRequest("s", i);
       }
       for (int i = 0; i < 1_000; i++) {
         granted += allowance.tryTake("s", entries, 100) ? 1 : 0;
@@ -67,23 +67,23 @@
   }
 
   @Test
-  void allowanceReturnsWhenTheWindowHasPassed() {
-    RepeatAllowance allowance = new RepeatAllowance(new RepeatSettings(0, 2, 10_000));
+  void allowanceIsRestoredAfterTheWindow() {
+    RetryAllowance allowance = new RetryAllowance(new RepeatSettings(0, 2, 10_000));
     assertTrue(allowance.tryTake("s", 1, 0));
     assertEquals(false, allowance.tryTake("s", 1, 9_900));
     assertTrue(allowance.tryTake("s", 1, 10_100));
   }
 
   @Test
-  void oneServicesRepeatsDoNotUseUpAnothers() {
-    RepeatAllowance allowance = new RepeatAllowance(new RepeatSettings(0, 2, 10_000));
+  void retriesOfOneServiceDoNotUseUpThoseOfAnother() {
+    RetryAllowance allowance = new RetryAllowance(new RepeatSettings(0, 2, 10_000));
     assertTrue(allowance.tryTake("s", 1, 0));
     assertTrue(allowance.tryTake("t", 1, 0));
   }
 
   @Test
-  void windowForgetsStepByStep() {
-    WindowCount count = new WindowCount(1_000);
+  void countsExpireStepByStep() {
+    SlidingWindowCounter count = new SlidingWindowCounter(1_000);
     count.add(0);
     count.add(500);
     assertEquals(2, count.total(900));
--- a/runtime/src/test/java/org/hornbeamusher/ratelimit/EndpointLimitTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/ratelimit/EndpointLimitTest.java
@@ -14,7 +14,7 @@
   private final EndpointLimit limit = new EndpointLimit();
 
   @Test
-  void limitIsInForceUntilLaterAnswerStatesNone() {
+  void limitAppliesUntilLaterResponseHasNone() {
     assertTrue(limit.answered(new StatedLimit.PerSecond(2), true, 0, 100));
     assertEquals(OptionalDouble.of(2), limit.requestsPerSecond());
     assertFalse(limit.answered(new StatedLimit.PerSecond(2), true, 50, 120));
@@ -22,14 +22,14 @@
     assertEquals(OptionalDouble.empty(), limit.requestsPerSecond());
   }
 
-  /** An answer written before the limit arrived after it and lifted it. */
+  /** Guards against lifting a limit by a response that was written before it but arrived later. */
   @Test
-  void answerToEarlierRequestDoesNotLiftLimit() {
+  void responseToEarlierRequestDoesNotLiftLimit() {
     limit.answered(new StatedLimit.PerSecond(2), true, 0, 100);
     assertFalse(limit.answered(NONE, true, 99, 300));
   }
 
-  /** A refusal without the header let a limited endpoint be flooded. */
+  /** Guards against overloading a rate-limited endpoint after a refusal without the header. */
   @Test
   void failureDoesNotLiftLimit() {
     limit.answered(new StatedLimit.PerSecond(2), true, 0, 100);
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void unreadableLimitChangesNothing() {
+  void invalidLimitIsIgnored() {
     assertFalse(limit.answered(new StatedLimit.Unreadable(), true, 0, 50));
     limit.answered(new StatedLimit.PerSecond(2), true, 60, 100);
     assertFalse(limit.answered(new StatedLimit.Unreadable(), true, 200, 300));
--- a/runtime/src/test/java/org/hornbeamusher/ratelimit/RatePermitsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/ratelimit/RatePermitsTest.java
@@ -19,27 +19,27 @@
 
   private static final EndpointId ENDPOINT = new EndpointId("e");
   private static final long WINDOW_MILLIS = 4_000;
-  private static final long DAY_MILLIS = 30_000;
+  private static final long DURATION_MILLIS = 30_000;
 
   private final RatePermits permits = new RatePermits();
 
   @Test
-  void permitIsGrantedWithItsWaitOrRefusedWithTheNext() {
+  void decisionContainsTheWaitForThePermit() {
     assertEquals(new PermitDecision.Granted(0), permits.permit(ENDPOINT, 1, 0, 0, 1_000));
     assertEquals(new PermitDecision.Refused(900), permits.permit(ENDPOINT, 1, 0, 500, 1_100));
     assertEquals(new PermitDecision.Granted(900), permits.permit(ENDPOINT, 1, 0, 900, 1_100));
     assertEquals(new PermitDecision.Refused(1_900), permits.permit(ENDPOINT, 1, 0, 900, 1_100));
   }
 
-  /** An endpoint that took nothing for a while was never sent a request again. */
+  /** Guards against never sending a request again to an endpoint that advertised a limit of 0. */
   @Test
-  void endpointThatTakesNothingIsTriedNowAndThen() {
+  void endpointWithLimitZeroIsTriedOccasionally() {
     assertEquals(new PermitDecision.Granted(0), permits.permit(ENDPOINT, 0, 0, 0, 1_000));
     assertEquals(new PermitDecision.Refused(4_000), permits.permit(ENDPOINT, 0, 0, 0, 1_000));
   }
 
   @Test
-  void latestStatementDecides() {
+  void latestAdvertisedLimitApplies() {
     permits.permit(ENDPOINT, 1, 100, 0, 1_000);
     permits.lifted(ENDPOINT, 99, 1_001);
     assertEquals(new PermitDecision.Refused(998), permits.permit(ENDPOINT, 1, 100, 0, 1_002));
@@ -48,45 +48,45 @@
     assertEquals(new PermitDecision.Refused(993), permits.permit(ENDPOINT, 1, 1_005, 0, 1_007));
   }
 
-  /**
-   * Entries that ask as often as they like, and a limit that changes: the stated tolerance holds.
-   */
+  /** Entries request permits at any rate; in every window the tolerance is kept. */
   @Property(tries = 300, seed = "33")
-  void noWindowHasMoreThanTheTolerance(
+  void noWindowExceedsTheTolerance(
       @ForAll @DoubleRange(min = 0.3, max = 60) double perSecond,
       @ForAll @IntRange(min = 1, max = 40) int entries,
       @ForAll @LongRange(min = 0, max = 1_000) long mostWait,
       @ForAll long seed) {
-    List<Long> sent = play(new Random(seed), entries, mostWait, perSecond, true);
-    assertTrue(most(sent) <= allowed(perSecond), most(sent) + " of " + allowed(perSecond));
+    List<Long> sent = simulate(new Random(seed), entries, mostWait, perSecond, true);
+    assertTrue(
+        maxInWindow(sent) <= allowed(perSecond), maxInWindow(sent) + " of " + allowed(perSecond));
   }
 
-  /** Entries that nobody paces sent one request each at once after a pause. */
+  /** Guards against entries without an agent that each send a request at once after a pause. */
   @Property(tries = 300, seed = "33")
-  void evenSharesKeepToTheToleranceOfFewEntries(
+  void evenSharesOfFewEntriesStayWithinTheTolerance(
       @ForAll @DoubleRange(min = 0.3, max = 60) double perSecond,
       @ForAll @IntRange(min = 1, max = 5) int entries,
       @ForAll @LongRange(min = 0, max = 1_000) long mostWait,
       @ForAll long seed) {
-    List<Long> sent = play(new Random(seed), entries, mostWait, perSecond, false);
-    assertTrue(most(sent) <= allowed(perSecond), most(sent) + " of " + allowed(perSecond));
+    List<Long> sent = simulate(new Random(seed), entries, mostWait, perSecond, false);
+    assertTrue(
+        maxInWindow(sent) <= allowed(perSecond), maxInWindow(sent) + " of " + allowed(perSecond));
   }
 
-  private List<Long> play(
+  private List<Long> simulate(
       Random random, int entries, long mostWait, double perSecond, boolean paced) {
-    List<EvenShare> shares =
-        Stream.generate(() -> new EvenShare(random.nextDouble())).limit(entries).toList();
+    List<EvenShareLimiter> shares =
+        Stream.generate(() -> new EvenShareLimiter(random.nextDouble())).limit(entries).toList();
     List<Long> sent = new ArrayList<>();
-    long quietUntil = random.nextLong(DAY_MILLIS);
-    for (long now = 0; now < DAY_MILLIS; now += 1 + random.nextInt(8)) {
+    long quietUntil = random.nextLong(DURATION_MILLIS);
+    for (long now = 0; now < DURATION_MILLIS; now += 1 + random.nextInt(8)) {
       if (now < quietUntil && now > quietUntil / 2) {
         continue;
       }
-      EvenShare own = shares.get(random.nextInt(entries));
+      EvenShareLimiter own = shares.get(random.nextInt(entries));
       PermitDecision decision =
           paced
               ? permits.permit(ENDPOINT, perSecond, 0, mostWait, now)
-              : own.permit(perSecond, entries, mostWait, now);
+              : own.tryAcquire(perSecond, entries, mostWait, now);
       if (decision instanceof PermitDecision.Granted granted) {
         sent.add(now + granted.waitMillis());
       }
@@ -98,7 +98,7 @@
     return 1.5 * perSecond * WINDOW_MILLIS / 1_000 + 5;
   }
 
-  private static long most(List<Long> sent) {
+  private static long maxInWindow(List<Long> sent) {
     List<Long> ordered = sent.stream().sorted().toList();
     int most = 0;
     int first = 0;
