--- a/runtime/src/main/java/org/hornbeamusher/availability/AvailabilityLog.java
+++ b/runtime/src/main/java/org/hornbeamusher/availability/AvailabilityLog.java
@@ -3,17 +3,17 @@
 import org.hornbeamusher.events.EventLog;
 import org.hornbeamusher.events.EventType;
 
-/** The lines that mark the beginning of what an endpoint states of whether it takes requests. */
+/** Logs when an endpoint starts to back off or to leave. */
 public final class AvailabilityLog {
 
   private AvailabilityLog() {}
 
   /**
-   * The endpoint wants no requests of this process for a while.
+   * Logs that the endpoint accepts no requests from this process for a while.
    *
-   * @param endpoint its id; empty where it is not known
-   * @param incarnation when it started, or another name of its incarnation
-   * @param millis for how long
+   * @param endpoint its id; empty if unknown
+   * @param incarnation its start time or another identifier of its incarnation
+   * @param millis duration of the back-off
    */
   public static void backoff(Object endpoint, Object incarnation, long millis) {
     EventLog.log(
@@ -27,10 +27,10 @@
   }
 
   /**
-   * The endpoint is leaving.
+   * Logs that the endpoint is leaving.
    *
    * @param endpoint its id
-   * @param startMillis when it started
+   * @param startMillis its start time
    */
   public static void leaving(Object endpoint, long startMillis) {
     EventLog.log(EventType.ENDPOINT_LEAVING, "endpoint", endpoint, "start_ms", startMillis);
--- a/runtime/src/main/java/org/hornbeamusher/availability/AvailabilityRegister.java
+++ b/runtime/src/main/java/org/hornbeamusher/availability/AvailabilityRegister.java
@@ -6,41 +6,41 @@
 import org.hornbeamusher.ids.EndpointLife;
 
 /**
- * What each incarnation of each endpoint has said of whether it takes requests, also while the
- * endpoint is missing from the list: an entry that lapses and comes back ends no statement.
+ * The availability of endpoints by incarnation. It is kept while an endpoint is missing from the
+ * list, so that a list entry that expires and returns does not end a back-off.
  */
 public final class AvailabilityRegister {
 
-  private static final int MOST_ENDPOINTS = 4_096;
+  private static final int MAX_ENDPOINTS = 4_096;
 
-  private final Map<EndpointId, Known> endpoints =
+  private final Map<EndpointId, KnownIncarnation> endpoints =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<EndpointId, Known> eldest) {
-          return size() > MOST_ENDPOINTS;
+        protected boolean removeEldestEntry(Map.Entry<EndpointId, KnownIncarnation> eldest) {
+          return size() > MAX_ENDPOINTS;
         }
       };
 
   /**
-   * Returns what an incarnation has said.
+   * Returns the availability of an incarnation.
    *
-   * @param life the incarnation
-   * @return what was known of it, or nothing yet
+   * @param incarnation the incarnation
+   * @return its availability, newly created if the incarnation is unknown
    */
-  public EndpointAvailability of(EndpointLife life) {
-    Known known = endpoints.get(life.id());
-    if (known == null || !known.life().sameAs(life)) {
-      known = new Known(life, new EndpointAvailability());
-      endpoints.put(life.id(), known);
-    } else if (known.life().startMillis() == EndpointLife.UNKNOWN_START) {
-      // The next incarnation under this id differs from this one by its start.
-      known = new Known(life, known.availability());
-      endpoints.put(life.id(), known);
+  public EndpointAvailability of(EndpointLife incarnation) {
+    KnownIncarnation known = endpoints.get(incarnation.id());
+    if (known == null || !known.incarnation().sameAs(incarnation)) {
+      known = new KnownIncarnation(incarnation, new EndpointAvailability());
+      endpoints.put(incarnation.id(), known);
+    } else if (known.incarnation().startMillis() == EndpointLife.UNKNOWN_START) {
+      // Stores the start time, by which the next incarnation of this id can be distinguished.
+      known = new KnownIncarnation(incarnation, known.availability());
+      endpoints.put(incarnation.id(), known);
     }
     return known.availability();
   }
 
-  private record Known(EndpointLife life, EndpointAvailability availability) {}
+  private record KnownIncarnation(EndpointLife incarnation, EndpointAvailability availability) {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/availability/EndpointAvailability.java
+++ b/runtime/src/main/java/org/hornbeamusher/availability/EndpointAvailability.java
@@ -1,30 +1,31 @@
 package org.hornbeamusher.availability;
 
 /**
- * What one incarnation of an endpoint has said to this process of whether it takes requests.
+ * Whether one incarnation of an endpoint accepts requests of this process, according to its
+ * responses.
  *
  * <ul>
- *   <li>A refusal that names a time to come back binds this process until then. Neither a later
- *       success nor a shorter time ends it earlier: answers overtake each other.
- *   <li>An endpoint that is leaving never takes requests again.
+ *   <li>A refusal with a Retry-After time blocks requests until then. Neither a later success nor a
+ *       shorter time ends the back-off earlier, because responses may arrive out of order.
+ *   <li>An endpoint that is leaving never accepts requests again.
  * </ul>
  */
 public final class EndpointAvailability {
 
-  private static final long NEVER = Long.MIN_VALUE;
+  private static final long NO_BACKOFF = Long.MIN_VALUE;
 
-  private long backoffEndMillis = NEVER;
+  private long backoffEndMillis = NO_BACKOFF;
   private boolean leaving;
 
   /**
-   * Takes what an answer says of when requests are taken again.
+   * Records the Retry-After time of a response.
    *
-   * @param stated what it says
-   * @param now milliseconds
-   * @return whether the endpoint asks for a longer pause than known
+   * @param retryAfter the time
+   * @param now current time in milliseconds
+   * @return whether it extends the back-off
    */
-  public boolean answered(StatedRetryAfter stated, long now) {
-    if (!(stated instanceof StatedRetryAfter.Millis time) || time.millis() == 0) {
+  public boolean answered(StatedRetryAfter retryAfter, long now) {
+    if (!(retryAfter instanceof StatedRetryAfter.Millis time) || time.millis() == 0) {
       return false;
     }
     long end = saturatedSum(now, time.millis());
@@ -40,9 +41,9 @@
   }
 
   /**
-   * Takes an answer's statement that the endpoint is leaving.
+   * Records that the endpoint is leaving.
    *
-   * @return whether this was not known
+   * @return whether this was not known before
    */
   public boolean statedLeaving() {
     boolean changed = !leaving;
@@ -51,19 +52,19 @@
   }
 
   /**
-   * Returns whether an answer has said that the endpoint is leaving.
+   * Returns whether the endpoint is leaving.
    *
-   * @return true from the first such answer on
+   * @return true from the first response that stated it
    */
   public boolean leaving() {
     return leaving;
   }
 
   /**
-   * Returns how much longer the endpoint wants no request of this process.
+   * Returns the remaining back-off.
    *
-   * @param now milliseconds
-   * @return milliseconds; 0 when it takes requests
+   * @param now current time in milliseconds
+   * @return milliseconds; 0 if the endpoint does not back off
    */
   public long backoffMillis(long now) {
     return backoffEndMillis > now ? backoffEndMillis - now : 0;
@@ -72,7 +73,7 @@
   /**
    * Decides whether a request may be sent.
    *
-   * @param now milliseconds
+   * @param now current time in milliseconds
    * @return the decision
    */
   public SendDecision decide(long now) {
--- a/runtime/src/main/java/org/hornbeamusher/availability/SendDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/availability/SendDecision.java
@@ -7,12 +7,12 @@
   record Now() implements SendDecision {}
 
   /**
-   * It may be sent when a time has passed.
+   * It may be sent after a wait.
    *
-   * @param waitMillis at least 1
+   * @param waitMillis length of the wait, at least 1
    */
   record Later(long waitMillis) implements SendDecision {}
 
-  /** It may not be sent to this incarnation of the endpoint any more. */
+  /** It may not be sent to this incarnation of the endpoint. */
   record Never() implements SendDecision {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/availability/StatedRetryAfter.java
+++ b/runtime/src/main/java/org/hornbeamusher/availability/StatedRetryAfter.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 
-/** What an endpoint's refusal says of when it takes requests of this process again. */
+/** When an endpoint accepts requests of this process again, according to a refusal. */
 public sealed interface StatedRetryAfter {
 
-  /** The name of the field by which a refusal states the time. */
+  /** The name of the response header. */
   String FIELD = "retry-after";
 
   /** The status of a refusal that concerns the endpoint. */
@@ -15,25 +15,25 @@
   int TOO_MANY = 429;
 
   /**
-   * The endpoint takes none for this long.
+   * The endpoint accepts no requests for a time.
    *
-   * @param millis at least 0
+   * @param millis the time, at least 0
    */
   record Millis(long millis) implements StatedRetryAfter {}
 
-  /** The answer states no time. */
+  /** The response contains no time. */
   record None() implements StatedRetryAfter {}
 
-  /** The answer states a time that cannot be read; it changes nothing. */
+  /** The response contains an invalid time, which is ignored. */
   record Unreadable() implements StatedRetryAfter {}
 
   /**
-   * Reads what an answer states. Only a refusal can: elsewhere the field means something else (RFC
-   * 9110, section 10.2.3).
+   * Reads the time from a response. Only refusals are considered, because in other responses the
+   * header has another meaning (RFC 9110, section 10.2.3).
    *
-   * @param status the answer's
-   * @param values of its {@code Retry-After} fields
-   * @return what they say
+   * @param status the status of the response
+   * @param values the values of its {@code Retry-After} headers
+   * @return the time
    */
   static StatedRetryAfter of(int status, List<String> values) {
     boolean refusal = status == UNAVAILABLE || status == TOO_MANY;
@@ -41,10 +41,10 @@
   }
 
   /**
-   * Reads the values of a {@code Retry-After} field. Of several, the longest readable one holds.
+   * Parses {@code Retry-After} values. The longest valid one of several applies.
    *
-   * @param values decimal numbers of seconds; empty where the answer states none
-   * @return what they say
+   * @param values decimal numbers of seconds; empty if the response has no such header
+   * @return the time
    */
   static StatedRetryAfter parse(List<String> values) {
     StatedRetryAfter longest = values.isEmpty() ? new None() : new Unreadable();
--- a/runtime/src/main/java/org/hornbeamusher/availability/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/availability/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Whether an endpoint takes requests now, by its own statements: that it is leaving, and that it
- * wants no request for a while. Decisions without network or threads.
+ * Whether an endpoint accepts requests now, according to its responses: whether it is leaving and
+ * whether it backs off. Decision logic without network or threads.
  */
 package org.hornbeamusher.availability;
--- a/runtime/src/test/java/org/hornbeamusher/availability/EndpointAvailabilityTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/availability/EndpointAvailabilityTest.java
@@ -17,30 +17,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When requests may be sent to an endpoint, by what it has stated. */
+/** Tests when requests may be sent to an endpoint. */
 class EndpointAvailabilityTest {
 
   private static final EndpointId ID = new EndpointId("i-1");
 
   private final EndpointAvailability endpoint = new EndpointAvailability();
 
-  /** Each number is either a wait in milliseconds or, when negative, a step of the clock. */
+  /** Each number is a Retry-After time in milliseconds or, if negative, a step of the clock. */
   @Property(seed = "36")
-  void nothingIsSentBeforeTheLatestStatedTimeAndEverythingAfterIt(
+  void requestsAreSentOnlyAfterTheLatestRetryAfterTime(
       @ForAll @Size(max = 40) List<@IntRange(min = -900, max = 900) Integer> steps) {
-    EndpointAvailability drawn = new EndpointAvailability();
+    EndpointAvailability availability = new EndpointAvailability();
     long now = 0;
     long end = 0;
     for (int step : steps) {
       if (step < 0) {
         now -= step;
       } else {
-        drawn.answered(new StatedRetryAfter.Millis(step), now);
+        availability.answered(new StatedRetryAfter.Millis(step), now);
         end = Math.max(end, now + step);
       }
-      boolean sent = drawn.decide(now) instanceof SendDecision.Now;
+      boolean sent = availability.decide(now) instanceof SendDecision.Now;
       assertEquals(now >= end, sent);
-      assertEquals(Math.max(0, end - now), drawn.backoffMillis(now));
+      assertEquals(Math.max(0, end - now), availability.backoffMillis(now));
     }
   }
 
@@ -66,43 +66,43 @@
   }
 
   @Test
-  void leavingEndpointNeverTakesRequestsAgain() {
+  void leavingEndpointNeverAcceptsRequestsAgain() {
     endpoint.statedLeaving();
     assertEquals(new SendDecision.Never(), endpoint.decide(Long.MAX_VALUE));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "-1", "soon", "NaN", "Infinity", "Wed, 21 Oct 2026 07:28:00 GMT"})
-  void unreadableTimeChangesNothing(String text) {
+  void invalidTimeIsRejected(String text) {
     assertInstanceOf(StatedRetryAfter.Unreadable.class, StatedRetryAfter.parse(List.of(text)));
   }
 
-  /** An endpoint was left alone for the time that a redirection or its own failure stated. */
+  /** Guards against a back-off caused by the Retry-After of a redirect or a failure. */
   @ParameterizedTest
   @ValueSource(ints = {200, 301, 421, 500, 502})
-  void onlyRefusalsStateBackoff(int status) {
+  void onlyRefusalsCauseBackoff(int status) {
     assertEquals(new StatedRetryAfter.None(), StatedRetryAfter.of(status, List.of("3")));
   }
 
   @Test
-  void longestReadableOfSeveralTimesHolds() {
+  void longestValidTimeApplies() {
     assertEquals(
         new StatedRetryAfter.Millis(1_500),
         StatedRetryAfter.parse(List.of("1", "later", " 1.5 ", "0.2")));
   }
 
-  /** A lapsed entry of the list that came back had the endpoint used in its pause. */
+  /** Guards against losing a back-off when a list entry expires and returns. */
   @Test
-  void statementsOutliveTheEntryOfTheEndpoint() {
+  void availabilityIsKeptPerIncarnation() {
     AvailabilityRegister register = new AvailabilityRegister();
     EndpointAvailability first = register.of(new EndpointLife(ID, 100));
     assertSame(first, register.of(new EndpointLife(ID, 100)));
     assertNotSame(first, register.of(new EndpointLife(ID, 200)));
   }
 
-  /** What an incarnation had stated before its start was known bound the next one. */
+  /** Guards against applying a back-off to the next incarnation if the start time was unknown. */
   @Test
-  void statementsEndWithTheirIncarnation() {
+  void availabilityIsNotKeptForTheNextIncarnation() {
     AvailabilityRegister register = new AvailabilityRegister();
     EndpointAvailability first = register.of(new EndpointLife(ID, EndpointLife.UNKNOWN_START));
     assertSame(first, register.of(new EndpointLife(ID, 100)));
