--- a/runtime/src/main/java/org/hornbeamusher/retry/AttemptFailure.java
+++ b/runtime/src/main/java/org/hornbeamusher/retry/AttemptFailure.java
@@ -4,15 +4,15 @@
 import org.hornbeamusher.failure.Outcome;
 
 /**
- * An attempt that failed.
+ * A failed attempt.
  *
- * @param type how
- * @param outcome what is known about the run
+ * @param type type of the failure
+ * @param outcome whether the request ran, as far as known
  * @param repeatable whether the request may run more than once
- * @param attempts attempts of the request so far, this one included
- * @param crashes endpoints that crashed while they ran the request
+ * @param attempts number of attempts of the request so far, including this one
+ * @param crashes number of endpoints that crashed while running the request
  * @param remainingMillis time until the request's deadline
- * @param bytesDelivered whether the caller has received any part of an answer
+ * @param bytesDelivered whether the caller has received any part of a response
  */
 public record AttemptFailure(
     FailureType type,
--- a/runtime/src/main/java/org/hornbeamusher/retry/RetryBudget.java
+++ b/runtime/src/main/java/org/hornbeamusher/retry/RetryBudget.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.retry;
 
 /**
- * A token bucket that successes fill. Not safe for use by several threads at once.
+ * A token bucket of retries that is filled by successful requests. Not thread-safe.
  *
  * <p>Invariant: retries taken never exceed {@code limit + share * successes + floor * seconds}.
  */
@@ -11,7 +11,7 @@
 
   private final RetrySettings settings;
 
-  /** Whole and partial retries that may be taken now; from 0 to the limit. */
+  /** Number of available retries, possibly fractional; from 0 to the limit. */
   private double tokens;
 
   private long lastMillis;
@@ -19,30 +19,31 @@
   /**
    * Creates a full budget.
    *
-   * @param settings share, floor and limit
-   * @param now milliseconds
+   * @param settings retries per success, retries per second and limit
+   * @param now current time in milliseconds
    */
   public RetryBudget(RetrySettings settings, long now) {
     this.settings = settings;
-    this.tokens = settings.budgetLimit();
+    this.tokens = settings.maxSavedRetries();
     this.lastMillis = now;
   }
 
-  /** Earns the share of one success. */
+  /** Adds the retries earned by one success. */
   public void succeeded() {
-    tokens = Math.min(settings.budgetLimit(), tokens + settings.budgetShare());
+    tokens = Math.min(settings.maxSavedRetries(), tokens + settings.retriesPerSuccess());
   }
 
   /**
-   * Takes one retry if there is one.
+   * Takes one retry if available.
    *
-   * @param now milliseconds; a step back earns nothing
+   * @param now current time in milliseconds; a step backwards earns nothing
    * @return whether it was taken
    */
   public boolean tryTake(long now) {
     double seconds = Math.max(0, now - lastMillis) / MILLIS_PER_SECOND;
     lastMillis = Math.max(lastMillis, now);
-    tokens = Math.min(settings.budgetLimit(), tokens + seconds * settings.floorPerSecond());
+    tokens =
+        Math.min(settings.maxSavedRetries(), tokens + seconds * settings.minRetriesPerSecond());
     if (tokens < 1) {
       return false;
     }
--- a/runtime/src/main/java/org/hornbeamusher/retry/RetryDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/retry/RetryDecision.java
@@ -3,22 +3,22 @@
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.Outcome;
 
-/** What follows a failed attempt. */
+/** Whether a failed attempt is retried. */
 public sealed interface RetryDecision {
 
   /**
-   * Another attempt is made.
+   * The request is retried.
    *
    * @param backoffMillis how long to wait first
-   * @param excluded whether the endpoint that failed must not get it
+   * @param excluded whether the failed endpoint is excluded
    */
   record Retry(long backoffMillis, boolean excluded) implements RetryDecision {}
 
   /**
-   * The caller gets its final answer, at once.
+   * The request fails at once.
    *
-   * @param type what it is told
-   * @param outcome what it is promised
+   * @param type the failure reported to the caller
+   * @param outcome whether the request ran, as reported to the caller
    */
   record GiveUp(FailureType type, Outcome outcome) implements RetryDecision {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/retry/RetryPolicy.java
+++ b/runtime/src/main/java/org/hornbeamusher/retry/RetryPolicy.java
@@ -4,26 +4,26 @@
 import org.hornbeamusher.failure.Outcome;
 
 /**
- * Decides whether a failed attempt is repeated. Not safe for use by several threads at once.
+ * Decides whether a failed attempt is retried. Not thread-safe.
  *
- * <p><b>Pattern.</b> One endpoint fails among many: repeating hides it from callers. All endpoints
- * fail or are full: repeating multiplies the load on what is left, and what could have recovered
- * does not. A limit per request does not tell the two apart, because three attempts for each
- * request triple the load just when everything fails. Hence the budget: retries are a share of
- * successes, so they end by themselves when successes do.
+ * <p><b>Load.</b> If one endpoint of many fails, retries hide the failure from callers. If all
+ * endpoints fail or are full, retries multiply the load on the remaining ones and prevent recovery.
+ * A limit per request does not distinguish the two cases: three attempts per request triple the
+ * load just when everything fails. The retry budget is therefore a ratio of the successes, so that
+ * retries stop when successes do.
  *
- * <p>The order of the rules is the order of what they protect. An answer that has begun to reach
- * its caller cannot be begun again. A request that ran, or may have run and must not run twice, is
- * not repeated. A request that was running at two crashed endpoints is the likely cause of both.
- * Only then come limits that protect the system: attempts, time left, budget.
+ * <p>The rules are ordered by what they protect. A response that has begun to reach its caller
+ * cannot be restarted. A request that ran, or that may have run and must not run twice, is not
+ * retried. A request that was running at two endpoints when they crashed probably caused both
+ * crashes. Then follow the limits that protect the system: attempts, remaining time and budget.
  *
- * <p>Example: 100 requests a second, all endpoints gone. The saved-up 10 retries are used in the
- * first 100 ms, then one in ten seconds; the load stays at 100 a second. With three attempts each
- * and no budget it would be 300.
+ * <p>Example: 100 requests a second while all endpoints are down. The 10 saved retries are used
+ * within the first 100 ms, then one every ten seconds; the load stays at 100 a second. With three
+ * attempts per request and no budget it would be 300.
  */
 public final class RetryPolicy {
 
-  /** A second crash ends the request: one is bad luck, two are the request's own doing. */
+  /** One crash may be a coincidence; a second one is attributed to the request. */
   private static final int MAXIMUM_CRASHES = 1;
 
   /** 2^64 divided by the golden ratio: Weyl sequence step of SplitMix64 (Steele et al., 2014). */
@@ -46,40 +46,40 @@
   }
 
   /**
-   * Decides about a failed attempt.
+   * Decides whether a failed attempt is retried.
    *
-   * @param failure how it failed
-   * @param now milliseconds
-   * @return what follows
+   * @param failure the failed attempt
+   * @param now current time in milliseconds
+   * @return the decision
    */
   public RetryDecision decide(AttemptFailure failure, long now) {
     if (failure.crashes() > MAXIMUM_CRASHES) {
       return new RetryDecision.GiveUp(FailureType.QUARANTINED, failure.outcome());
     }
-    if (failure.bytesDelivered() || !mayRunAgain(failure) || !elsewhereMayDiffer(failure.type())) {
+    if (failure.bytesDelivered() || !mayRunAgain(failure) || !mayWorkElsewhere(failure.type())) {
       return new RetryDecision.GiveUp(failure.type(), failure.outcome());
     }
     long backoff = backoff(failure);
     if (backoff >= failure.remainingMillis()) {
       return new RetryDecision.GiveUp(FailureType.DEADLINE_PASSED, failure.outcome());
     }
-    if (failure.attempts() >= settings.attemptLimit() || !budget.tryTake(now)) {
-      return new RetryDecision.GiveUp(exhausted(failure), failure.outcome());
+    if (failure.attempts() >= settings.maxAttempts() || !budget.tryTake(now)) {
+      return new RetryDecision.GiveUp(exhaustedType(failure), failure.outcome());
     }
     return new RetryDecision.Retry(backoff, true);
   }
 
   /**
-   * Records a whole answer, which earns a share of a retry.
+   * Records a complete response, which earns a fraction of a retry.
    *
-   * @param now milliseconds
+   * @param now current time in milliseconds
    */
   public void succeeded(long now) {
     budget.succeeded();
   }
 
-  /** A refusal that proves the request was not run says more than that it is not repeated. */
-  private static FailureType exhausted(AttemptFailure failure) {
+  /** Keeps the type of a "not run" refusal, which tells the caller more than exhausted retries. */
+  private static FailureType exhaustedType(AttemptFailure failure) {
     boolean notRun = failure.outcome() instanceof Outcome.NotRun;
     return notRun ? failure.type() : FailureType.RETRIES_EXHAUSTED;
   }
@@ -92,8 +92,8 @@
     };
   }
 
-  /** Whether another endpoint may do what this one could not. */
-  private static boolean elsewhereMayDiffer(FailureType type) {
+  /** Returns whether the request may succeed at another endpoint. */
+  private static boolean mayWorkElsewhere(FailureType type) {
     return switch (type) {
       case ENDPOINT_FAILED,
           ENDPOINT_LOST,
@@ -114,7 +114,7 @@
     };
   }
 
-  /** A leaving endpoint says nothing about the others, so the next attempt need not wait. */
+  /** Without back-off for a leaving endpoint, because that says nothing about the others. */
   private long backoff(AttemptFailure failure) {
     if (failure.type() == FailureType.ENDPOINT_LEAVING) {
       return 0;
@@ -125,7 +125,7 @@
     return ceiling / 2 + (long) (nextRandom() * ceiling / 2);
   }
 
-  /** Spreads the retries of requests that failed together, so that they do not arrive together. */
+  /** Adds jitter, so that requests that failed together are not retried together. */
   private double nextRandom() {
     jitterState += WEYL_STEP;
     long mixed = jitterState;
--- a/runtime/src/main/java/org/hornbeamusher/retry/RetrySettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/retry/RetrySettings.java
@@ -1,27 +1,27 @@
 package org.hornbeamusher.retry;
 
 /**
- * Figures of retries at one entry.
+ * Limits of retries at one entry.
  *
- * @param budgetShare retries earned by one success
- * @param floorPerSecond retries earned by time alone, so that the first requests after a start and
- *     a service with little traffic have some
- * @param budgetLimit most retries that can be saved up
- * @param attemptLimit most attempts of one request
- * @param baseBackoffMillis longest wait before the second attempt; it doubles with each attempt
- * @param maximumBackoffMillis longest wait of all
+ * @param retriesPerSuccess retries earned per success
+ * @param minRetriesPerSecond retries earned per second regardless of successes, for the first
+ *     requests after a start and for services with little traffic
+ * @param maxSavedRetries maximum number of saved retries
+ * @param maxAttempts maximum number of attempts per request
+ * @param baseBackoffMillis maximum back-off before the second attempt; doubles with each attempt
+ * @param maximumBackoffMillis upper bound of the back-off
  */
 public record RetrySettings(
-    double budgetShare,
-    double floorPerSecond,
-    double budgetLimit,
-    int attemptLimit,
+    double retriesPerSuccess,
+    double minRetriesPerSecond,
+    double maxSavedRetries,
+    int maxAttempts,
     long baseBackoffMillis,
     long maximumBackoffMillis) {
 
   /**
-   * A tenth of the successes, one in ten seconds from time alone, three attempts. When everything
-   * fails, the extra load is the saved-up ten and then 0.1 a second.
+   * One retry per ten successes and one every ten seconds, three attempts. When everything fails,
+   * the additional load is the ten saved retries and then 0.1 a second.
    */
   public static final RetrySettings DEFAULT = new RetrySettings(0.1, 0.1, 10, 3, 50, 1_000);
 }
--- a/runtime/src/main/java/org/hornbeamusher/retry/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Decides whether a failed attempt is repeated. No network, no threads. */
+/** Decides whether a failed attempt is retried. Decision logic without network or threads. */
 package org.hornbeamusher.retry;
--- a/runtime/src/test/java/org/hornbeamusher/retry/RetryPolicyTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/retry/RetryPolicyTest.java
@@ -17,8 +17,9 @@
 
   private static final RetrySettings SETTINGS = RetrySettings.DEFAULT;
 
-  // Endpoints fail and succeed in any order. Were retries not bounded by successes, an outage would
-  // multiply the load on whatever is left.
+  // Endpoints fail and succeed in any order. Guards against retries that multiply the load during
+  // an
+  // outage because they are not bounded by successes.
   @Property(seed = "1207", tries = 300)
   void retriesNeverExceedTheirBudget(
       @ForAll @Size(max = 400) List<@IntRange(max = 3_000) Integer> steps) {
@@ -34,26 +35,28 @@
       } else if (policy.decide(lost(1, 0), now) instanceof RetryDecision.Retry) {
         retries++;
       }
-      double earned = SETTINGS.budgetShare() * successes + SETTINGS.floorPerSecond() * now / 1_000;
-      assertTrue(retries <= SETTINGS.budgetLimit() + earned + 1e-6);
+      double earned =
+          SETTINGS.retriesPerSuccess() * successes + SETTINGS.minRetriesPerSecond() * now / 1_000;
+      assertTrue(retries <= SETTINGS.maxSavedRetries() + earned + 1e-6);
     }
   }
 
-  // Every endpoint is gone and 100 requests a second go on arriving. With three attempts for each,
-  // 300 a second would meet the first endpoint that comes back.
+  // All endpoints are down while 100 requests a second arrive. Guards against sending 300 a second
+  // (three attempts each) to the first endpoint that recovers.
   @Test
-  void outageOfAllIsNotAmplified() {
+  void totalOutageIsNotAmplified() {
     RetryPolicy policy = new RetryPolicy(SETTINGS);
     int retries = 0;
     for (int i = 0; i < 6_000; i++) {
       retries += policy.decide(lost(1, 0), i * 10L) instanceof RetryDecision.Retry ? 1 : 0;
     }
-    assertEquals(10 + 5, retries, "saved up, and one in ten seconds of a minute");
+    assertEquals(10 + 5, retries, "saved retries, and one per ten seconds of a minute");
   }
 
-  // A booking was sent and the connection was lost. Sending it again could send two tankers.
+  // Guards against running a non-repeatable request, such as a booking, twice after its connection
+  // was lost.
   @Test
-  void nonRepeatableRequestIsRepeatedOnlyWhenItWasNotRun() {
+  void nonRepeatableRequestIsRetriedOnlyIfNotRun() {
     RetryPolicy policy = new RetryPolicy(SETTINGS);
     assertGivesUp(
         FailureType.ENDPOINT_LOST,
@@ -65,9 +68,9 @@
             failure(FailureType.ENDPOINT_LEAVING, Outcome.NOT_RUN, false, 1, 0, 9_000, false), 0));
   }
 
-  // Part of an answer has reached the caller. A second run would append another answer to it.
+  // Guards against appending a second response to one that has partly reached the caller.
   @Test
-  void answerThatHasBegunIsNotBegunAgain() {
+  void partlyDeliveredResponseIsNotRetried() {
     RetryPolicy policy = new RetryPolicy(SETTINGS);
     assertGivesUp(
         FailureType.ANSWER_CUT,
@@ -75,10 +78,10 @@
             failure(FailureType.ANSWER_CUT, Outcome.UNKNOWN, true, 1, 0, 9_000, true), 0));
   }
 
-  // A request takes down each endpoint that runs it. After the first it may have been bad luck;
-  // after the second its caller is told that it is the request.
+  // Guards against a request that crashes every endpoint that runs it. One crash may be a
+  // coincidence; after the second the request is quarantined.
   @Test
-  void secondCrashEndsTheRequest() {
+  void secondCrashQuarantinesTheRequest() {
     RetryPolicy policy = new RetryPolicy(SETTINGS);
     assertInstanceOf(RetryDecision.Retry.class, policy.decide(lost(1, 1), 0));
     assertGivesUp(FailureType.QUARANTINED, policy.decide(lost(2, 2), 0));
@@ -94,10 +97,10 @@
             failure(FailureType.ENDPOINT_LOST, Outcome.UNKNOWN, true, 1, 0, 10, false), 0));
   }
 
-  // Every agent refuses for want of time and the budget is used up. The caller must learn that its
-  // request was not run, and why, not that some retry did not happen.
+  // All agents refuse because of the deadline and the budget is exhausted. Guards against reporting
+  // exhausted retries instead of the reason and the fact that the request was not run.
   @Test
-  void refusalKeepsItsTypeWhenTheBudgetIsUsedUp() {
+  void refusalKeepsItsTypeWhenTheBudgetIsExhausted() {
     RetryPolicy policy = new RetryPolicy(SETTINGS);
     for (int i = 0; i < 20; i++) {
       policy.decide(lost(1, 0), 0);
@@ -109,7 +112,7 @@
   }
 
   @Test
-  void failureOfTheRequestItselfIsNotRepeated() {
+  void malformedRequestIsNotRetried() {
     assertGivesUp(
         FailureType.MALFORMED_REQUEST,
         new RetryPolicy(SETTINGS)
