--- a/runtime/src/main/java/org/hornbeamusher/placement/EndpointHealth.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/EndpointHealth.java
@@ -1,88 +1,95 @@
 package org.hornbeamusher.placement;
 
 /**
- * How an endpoint has done lately, by this entry's own requests.
+ * Moving averages of an endpoint's failures and latencies, from this entry's own requests.
  *
- * <p>An endpoint may fail or be slow while its health check passes, so only its answers count. A
- * failure adds a penalty that halves every second; latencies are averaged over about ten answers.
- * The penalty sends requests elsewhere while there is an elsewhere, and fades, so that the endpoint
- * is tried again without a timer or a probe.
+ * <p>An endpoint may fail or be slow while its health check passes, so only its responses count. A
+ * failure adds a penalty that halves every 1.5 s; latencies are averaged over about ten responses.
+ * The penalty directs requests to other endpoints, where there are any, and decays, so that the
+ * endpoint is tried again without a timer or a probe.
  *
- * <p>An engine's <em>pace</em> is how much longer its first events take than its data sheet says,
- * over about twenty answers. Engines differ in speed, and prompts are read between the tokens of
- * what runs already, so that a full engine reads at two thirds of its speed. Without the pace a
- * slow engine gets as many prompts as a fast one and each of them is late.
+ * <p>An engine's slowdown factor is how many times longer its first events take than its data sheet
+ * says, averaged over about twenty responses. Engines differ in speed, and prompts are processed
+ * between the decoding steps of the running requests, so that a fully loaded engine processes
+ * prompts at two thirds of its nominal speed. Without the factor a slow engine would get as many
+ * prompts as a fast one, and the first event of each would be late.
  */
 final class EndpointHealth {
 
-  /** As long as a caller of a plain service may wait; one failure outweighs any queue. */
-  private static final double FAILURE_MILLIS = 400;
+  /**
+   * As long as a caller of a plain service may wait, so that one failure outweighs any queue there.
+   */
+  private static final double FAILURE_PENALTY_MILLIS = 400;
 
-  private static final double MOST_PENALTY_MILLIS = 3_000;
-  private static final double HALF_LIFE_MILLIS = 1_500;
-  private static final double NEW_SHARE = 0.15;
+  private static final double MAX_PENALTY_MILLIS = 3_000;
+  private static final double PENALTY_HALF_LIFE_MILLIS = 1_500;
+  private static final double LATENCY_WEIGHT = 0.15;
 
-  private static final double READ_SHARE = 0.05;
+  private static final double PROMPT_TIME_WEIGHT = 0.05;
 
-  /** Stands for the answers before the first one: a fifth of a second at the sheet's speed. */
-  private static final double PRIOR_MILLIS = 200;
+  /** Initial value of both prompt processing averages: a prompt of 200 ms at nominal speed. */
+  private static final double INITIAL_PROMPT_MILLIS = 200;
 
-  private static final double MOST_PACE = 4;
+  private static final double MAX_SLOWDOWN = 4;
 
-  /** How long a run takes before the first one has ended: half a second, on engines seen so far. */
-  private static final double PRIOR_RUN_MILLIS = 500;
+  /** Initial average run time, as observed on the engines in use. */
+  private static final double INITIAL_RUN_MILLIS = 500;
 
-  /** About ten runs; they differ by their answers' lengths. */
-  private static final double NEW_RUN_SHARE = 0.1;
+  /** Averages over about ten runs, because run times vary with the length of the output. */
+  private static final double RUN_TIME_WEIGHT = 0.1;
 
-  private double runMillis = PRIOR_RUN_MILLIS;
+  private double runMillis = INITIAL_RUN_MILLIS;
   private double penalty;
-  private long penaltyMillis;
+  private long penaltyUpdatedMillis;
   private double latency;
-  private double expectedRead = PRIOR_MILLIS;
-  private double takenRead = PRIOR_MILLIS;
+  private double expectedPromptMillis = INITIAL_PROMPT_MILLIS;
+  private double actualPromptMillis = INITIAL_PROMPT_MILLIS;
 
-  void succeeded(double latencyMillis) {
-    latency = latency == 0 ? latencyMillis : latency + NEW_SHARE * (latencyMillis - latency);
+  void recordLatency(double latencyMillis) {
+    latency = latency == 0 ? latencyMillis : latency + LATENCY_WEIGHT * (latencyMillis - latency);
   }
 
-  void failed(long now) {
-    penalty = Math.min(MOST_PENALTY_MILLIS, penaltyMillis(now) + FAILURE_MILLIS);
-    penaltyMillis = now;
+  void recordFailure(long now) {
+    penalty = Math.min(MAX_PENALTY_MILLIS, penaltyMillis(now) + FAILURE_PENALTY_MILLIS);
+    penaltyUpdatedMillis = now;
   }
 
-  /** Another endpoint answers at its address; nothing but the lack of any other leads back here. */
-  void misdirected(long now) {
-    penalty = MOST_PENALTY_MILLIS;
-    penaltyMillis = now;
+  /**
+   * Sets the maximum penalty: another endpoint responds at this one's address. It is then chosen
+   * only if there is no other.
+   */
+  void setMaxPenalty(long now) {
+    penalty = MAX_PENALTY_MILLIS;
+    penaltyUpdatedMillis = now;
   }
 
   double penaltyMillis(long now) {
-    double halves = Math.max(0, now - penaltyMillis) / HALF_LIFE_MILLIS;
-    return penalty * Math.pow(0.5, halves);
+    double halfLives = Math.max(0, now - penaltyUpdatedMillis) / PENALTY_HALF_LIFE_MILLIS;
+    return penalty * Math.pow(0.5, halfLives);
   }
 
-  void read(double expectedMillis, double takenMillis) {
-    expectedRead += READ_SHARE * (expectedMillis - expectedRead);
-    takenRead += READ_SHARE * (takenMillis - takenRead);
+  void recordPromptTime(double expectedMillis, double takenMillis) {
+    expectedPromptMillis += PROMPT_TIME_WEIGHT * (expectedMillis - expectedPromptMillis);
+    actualPromptMillis += PROMPT_TIME_WEIGHT * (takenMillis - actualPromptMillis);
   }
 
-  /** How many times longer reading takes than the sheet says; at least 1. */
-  double pace() {
-    return Math.max(1, Math.min(MOST_PACE, takenRead / Math.max(1, expectedRead)));
+  /** Returns how many times longer prompt processing takes than the data sheet says; at least 1. */
+  double slowdown() {
+    return Math.max(
+        1, Math.min(MAX_SLOWDOWN, actualPromptMillis / Math.max(1, expectedPromptMillis)));
   }
 
-  /** A run at an engine has ended well. */
-  void ran(double takenMillis) {
-    runMillis += NEW_RUN_SHARE * (takenMillis - runMillis);
+  /** Records the duration of a run that completed successfully. */
+  void recordRun(double takenMillis) {
+    runMillis += RUN_TIME_WEIGHT * (takenMillis - runMillis);
   }
 
-  /** How long a run at an engine takes, on average. */
+  /** Returns the average duration of a run at the engine. */
   double runMillis() {
     return runMillis;
   }
 
-  /** The average time of an answer; 0 before the first one. */
+  /** Returns the average latency; 0 before the first response. */
   double latencyMillis() {
     return latency;
   }
--- a/runtime/src/main/java/org/hornbeamusher/placement/EndpointView.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/EndpointView.java
@@ -17,253 +17,259 @@
 import org.hornbeamusher.routing.Rendezvous;
 
 /**
- * What this entry believes of one life of an endpoint: what it holds, by its agent's word or,
- * without one, by the list of endpoints; what other entries have running there, by the agent's
- * word; and what this entry has running there itself, which no report has to tell it.
+ * This entry's local state of one incarnation of an endpoint: the adapters in its memory, as
+ * reported by its agent or, without an agent, by the list of endpoints; the load of other entries,
+ * as reported by the agent; and the load of this entry, which it counts itself.
  */
 public final class EndpointView {
 
   /**
-   * How long a place that this entry has asked for may be missing from the agent's reports: they
-   * are sent each 60 ms, and the way there and back takes a few more.
+   * How long an adapter slot that this entry has requested may be missing from the agent's reports:
+   * they are sent every 60 ms, and the round trip takes a few milliseconds more.
    */
-  private static final long UNREPORTED_MILLIS = 90;
+  private static final long MAX_REPORT_DELAY_MILLIS = 90;
 
-  /** How much of an engine's memory is assumed to hold prompts that this entry sent. */
-  private static final double PREFIX_SHARE = 0.25;
+  /** Fraction of an engine's memory that is assumed to cache prompts sent by this entry. */
+  private static final double PREFIX_MEMORY_FRACTION = 0.25;
 
-  /** Adapters that left the places and are remembered; more than any engine has copies of. */
-  private static final int MOST_REMEMBERED = 512;
+  /** Limit on the remembered evicted adapters; greater than the number of copies of any engine. */
+  private static final int MAX_EVICTED_ADAPTERS = 512;
 
-  private final PrefixCache prefixes;
+  private final PrefixCacheEstimate prefixes;
   private final EndpointHealth health = new EndpointHealth();
   private final EndpointLimit limit = new EndpointLimit();
   private final EndpointAvailability availability;
   private final long hash;
 
-  /** Adapters that left the engine's places; the least recent one is forgotten first. */
-  private final LinkedHashMap<AdapterKey, Long> recent = new LinkedHashMap<>();
+  /** Versions of the adapters evicted from the engine's slots; the oldest eviction comes first. */
+  private final LinkedHashMap<AdapterKey, Long> evicted = new LinkedHashMap<>();
 
   private Endpoint endpoint;
 
-  /** Until when it is slow after its start. */
-  private long warmMillis = Long.MIN_VALUE;
+  /** The end of the slow phase after its start. */
+  private long warmUpEndMillis = Long.MIN_VALUE;
 
   private boolean agentConnected;
   private boolean leaving;
 
-  /** The agent beside the engine says that this life of it is over, which the list does not yet. */
+  /** The agent reports that this incarnation has ended; the list does not show it yet. */
   private boolean ended;
 
-  /** The endpoint is not in use any more; what was placed here before must not be sent. */
+  /** The endpoint has been removed; requests that were placed here before must not be sent. */
   private boolean removed;
 
-  /** The agent's word; until then, and where no agent is, what is believed of any engine. */
+  /** As reported by the agent; defaults before the first report and without an agent. */
   private LoadCosts costs;
 
-  private Set<HeldAdapter> held;
-  private Set<HeldAdapter> coming = Set.of();
+  private Set<HeldAdapter> residentAdapters;
+  private Set<HeldAdapter> loadingAdapters = Set.of();
   private int othersRunning;
   private long othersPromptTokens;
 
-  /** One until an agent says more: an engine of which nothing is known is worth a try. */
-  private int sparePlaces = 1;
+  /** One before the first report of an agent, so that an engine without a report is tried. */
+  private int reportedFreeSlots = 1;
 
-  /** Adapters that this entry asked for, and when; each may take a place no report counts yet. */
-  private final Map<HeldAdapter, Long> asked = new HashMap<>();
+  /**
+   * Adapters that this entry requested, and when; each may take a slot that no report counts yet.
+   */
+  private final Map<HeldAdapter, Long> requestedAdapters = new HashMap<>();
 
-  private int running;
-  private long promptTokens;
+  private int ownRunning;
+  private long ownPromptTokens;
 
   /**
-   * Creates a view of an endpoint that this entry has sent nothing yet.
+   * Creates the state of an endpoint to which this entry has not sent a request yet.
    *
    * @param endpoint the endpoint
    * @param memoryTokens an engine's memory; 0 at a plain service
-   * @param places adapters that an engine holds at once; 0 at a plain service
-   * @param availability what this incarnation has stated of whether it takes requests
+   * @param adapterSlots the adapter slots of an engine; 0 at a plain service
+   * @param availability whether this incarnation accepts requests, by its own responses
    */
   public EndpointView(
-      Endpoint endpoint, long memoryTokens, int places, EndpointAvailability availability) {
+      Endpoint endpoint, long memoryTokens, int adapterSlots, EndpointAvailability availability) {
     this.endpoint = endpoint;
     this.availability = availability;
-    this.costs = LoadCosts.prior(places);
-    this.held = endpoint.held();
+    this.costs = LoadCosts.prior(adapterSlots);
+    this.residentAdapters = endpoint.held();
     this.hash = Rendezvous.hash(endpoint.id().value());
-    this.prefixes = new PrefixCache((long) (memoryTokens * PREFIX_SHARE));
+    this.prefixes = new PrefixCacheEstimate((long) (memoryTokens * PREFIX_MEMORY_FRACTION));
   }
 
   /**
-   * Takes what the list says now.
+   * Applies the endpoint's current list entry.
    *
-   * @param listed the same life of the endpoint
+   * @param listed the same incarnation of the endpoint
    * @param now milliseconds
    */
   public void listed(Endpoint listed, long now) {
     endpoint = listed;
-    warmMillis = now + listed.coldMillis();
+    warmUpEndMillis = now + listed.coldMillis();
     if (!agentConnected) {
-      replaceHeld(listed.held());
+      replaceResidentAdapters(listed.held());
     }
   }
 
   /**
-   * Takes what the endpoint's agent says it holds.
+   * Applies the agent's report of the adapters in the engine's memory.
    *
-   * @param resident can run requests now
-   * @param loading on the way
-   * @param leavingNow whether it takes no new work; it never does again
+   * @param resident adapters that can run requests now
+   * @param loading adapters that are being loaded
+   * @param leavingNow whether it accepts no new work; this is final for the incarnation
    */
   public void reported(Set<HeldAdapter> resident, Set<HeldAdapter> loading, boolean leavingNow) {
     agentConnected = true;
     ended = false;
     leaving |= leavingNow;
-    replaceHeld(resident);
-    coming = Set.copyOf(loading);
+    replaceResidentAdapters(resident);
+    loadingAdapters = Set.copyOf(loading);
   }
 
   /**
-   * Takes what other entries have at the endpoint.
+   * Applies the agent's report of the load of other entries.
    *
-   * @param requests running or waiting there
-   * @param tokens of their prompts that are not read yet
-   * @param spare places for adapters that a load could have at once, less those that wait for one
+   * @param requests their requests that run or wait there
+   * @param tokens prompt tokens of these requests that are not processed yet
+   * @param freeSlots adapter slots that are free for a load, minus the adapters that wait for one
    */
-  public void reportedLoad(int requests, long tokens, int spare) {
-    sparePlaces = spare;
+  public void reportedLoad(int requests, long tokens, int freeSlots) {
+    reportedFreeSlots = freeSlots;
     othersRunning = requests;
     othersPromptTokens = tokens;
   }
 
   /**
-   * Takes what the agent has learnt of its engine.
+   * Applies the load costs that the agent has measured at its engine.
    *
-   * @param learnt what it costs to have an adapter there
+   * @param measured the costs of loading an adapter there
    */
-  public void reportedCosts(LoadCosts learnt) {
-    costs = learnt;
+  public void reportedCosts(LoadCosts measured) {
+    costs = measured;
   }
 
   /**
-   * The agent sees another life of its engine, or none. The list names this one for seconds more;
-   * all that was sent here meanwhile would be refused, and what waits for a load would wait in
-   * vain.
+   * Marks this incarnation as ended: the agent sees another incarnation of its engine, or none. The
+   * list still contains this one for some seconds, in which every request sent here would be
+   * refused and every wait for a load would time out.
    */
   public void endedByAgent() {
     ended = true;
-    coming = Set.of();
+    loadingAdapters = Set.of();
   }
 
-  /** The connection to the agent is lost; what it said last is kept until the list says more. */
+  /**
+   * Handles the loss of the connection to the agent. The adapters that it reported last are kept
+   * until the next list.
+   */
   public void agentLost() {
     agentConnected = false;
     ended = false;
-    coming = Set.of();
+    loadingAdapters = Set.of();
     othersRunning = 0;
     othersPromptTokens = 0;
   }
 
-  private void replaceHeld(Set<HeldAdapter> now) {
-    Set<HeldAdapter> left = new HashSet<>(held);
-    left.removeAll(now);
-    for (HeldAdapter adapter : left) {
-      recent.remove(adapter.key());
-      recent.put(adapter.key(), adapter.version());
+  private void replaceResidentAdapters(Set<HeldAdapter> current) {
+    Set<HeldAdapter> removedAdapters = new HashSet<>(residentAdapters);
+    removedAdapters.removeAll(current);
+    for (HeldAdapter adapter : removedAdapters) {
+      evicted.remove(adapter.key());
+      evicted.put(adapter.key(), adapter.version());
     }
-    while (recent.size() > MOST_REMEMBERED) {
-      recent.remove(recent.keySet().iterator().next());
+    while (evicted.size() > MAX_EVICTED_ADAPTERS) {
+      evicted.remove(evicted.keySet().iterator().next());
     }
-    held = Set.copyOf(now);
+    residentAdapters = Set.copyOf(current);
   }
 
   /**
-   * A request is sent, or waits for its adapter.
+   * Counts a request that is sent or waits for its adapter to be loaded.
    *
-   * @param request what it is
+   * @param request the request
    * @param now milliseconds
    */
   public void started(PlacementRequest request, long now) {
-    running++;
-    promptTokens += uncachedTokens(request);
-    request.adapter().ifPresent(adapter -> prefixes.sent(adapter.key(), request.parts()));
+    ownRunning++;
+    ownPromptTokens += uncachedTokens(request);
+    request.adapter().ifPresent(adapter -> prefixes.recordSent(adapter.key(), request.parts()));
     request
         .adapter()
         .filter(adapter -> !holds(adapter) && !awaits(adapter))
-        .ifPresent(adapter -> asked.put(adapter, now));
+        .ifPresent(adapter -> requestedAdapters.put(adapter, now));
   }
 
   /**
-   * The prompt of a request has been read, or will not be.
+   * Stops counting the prompt of a request: it has been processed, or never will be.
    *
-   * @param tokens what {@link #uncachedTokens} said when it was started
+   * @param tokens the value of {@link #uncachedTokens} when the request was started
    */
   public void promptRead(long tokens) {
-    promptTokens = Math.max(0, promptTokens - tokens);
+    ownPromptTokens = Math.max(0, ownPromptTokens - tokens);
   }
 
-  /** A request has ended. */
+  /** Stops counting a request, which has ended. */
   public void ended() {
-    running = Math.max(0, running - 1);
+    ownRunning = Math.max(0, ownRunning - 1);
   }
 
   /**
-   * An answer came.
+   * Records a successful response.
    *
-   * @param latencyMillis until it was whole, or until its first event
+   * @param latencyMillis until the response was complete or, for a stream, until its first event
    */
   public void succeeded(double latencyMillis) {
-    health.succeeded(latencyMillis);
+    health.recordLatency(latencyMillis);
   }
 
   /**
-   * An engine's first event came.
+   * Records the time to the first event of an engine's response.
    *
-   * @param tokens unread there when the request was sent, its own included
-   * @param promptTokensPerMilli how fast the engine's sheet says that it reads
-   * @param takenMillis from the sending until the event
+   * @param tokens prompt tokens pending there when the request was sent, including its own
+   * @param promptTokensPerMilli prompt processing speed by the engine's data sheet
+   * @param takenMillis from sending the request until the event
    */
   public void promptTook(long tokens, double promptTokensPerMilli, long takenMillis) {
-    health.read(tokens / promptTokensPerMilli, takenMillis);
+    health.recordPromptTime(tokens / promptTokensPerMilli, takenMillis);
   }
 
   /**
-   * An engine's answer is whole.
+   * Records the duration of a request that an engine has completed.
    *
-   * @param takenMillis from the sending until its end
+   * @param takenMillis from sending the request until the end of the response
    */
   public void ran(long takenMillis) {
-    health.ran(takenMillis);
+    health.recordRun(takenMillis);
   }
 
   /**
-   * An attempt failed through the endpoint's fault.
+   * Records an attempt that failed because of the endpoint.
    *
    * @param now milliseconds
    */
   public void failed(long now) {
-    health.failed(now);
+    health.recordFailure(now);
   }
 
   /**
-   * What stands at this address is not this endpoint, or does not hold what it was believed to
-   * hold. Where an agent is connected, its next word is a few milliseconds away and tells which.
-   * Without one only the list has spoken, which lags by seconds behind an endpoint that started
-   * again: every further request would be refused as well until its entry lapses.
+   * Handles a response that shows that another endpoint runs at this address, or that the requested
+   * adapter is not in its memory. A connected agent corrects this state within a few milliseconds.
+   * Without an agent the state comes from the list, which lags by seconds behind a restart: every
+   * further request would be refused, too, until the list entry expires. So the adapters are
+   * dropped and the endpoint gets the maximum penalty.
    *
    * @param now milliseconds
    */
   public void misdirected(long now) {
     if (!agentConnected) {
-      held = Set.of();
-      health.misdirected(now);
+      residentAdapters = Set.of();
+      health.setMaxPenalty(now);
     }
   }
 
   /**
-   * Returns how much of a prompt the endpoint would have to read.
+   * Returns how much of a prompt the endpoint would have to process.
    *
    * @param request the request
-   * @return tokens
+   * @return the number of prompt tokens that it probably has not cached
    */
   public int uncachedTokens(PlacementRequest request) {
     int cached =
@@ -275,18 +281,18 @@
   }
 
   /**
-   * Returns the id.
+   * Returns the endpoint's id.
    *
-   * @return the endpoint's
+   * @return the id
    */
   public EndpointId id() {
     return endpoint.id();
   }
 
   /**
-   * Returns the life that all of this is believed of.
+   * Returns the incarnation that this state belongs to.
    *
-   * @return the endpoint's
+   * @return the endpoint's incarnation
    */
   public EndpointLife life() {
     return endpoint.life();
@@ -295,103 +301,106 @@
   /**
    * Returns the endpoint.
    *
-   * @return as it was listed last
+   * @return the endpoint as of the last list
    */
   public Endpoint endpoint() {
     return endpoint;
   }
 
   /**
-   * Tells whether the agent beside the endpoint is connected.
+   * Returns whether the endpoint's agent is connected.
    *
-   * @return false at a plain service
+   * @return always false at a plain service
    */
   public boolean agentConnected() {
     return agentConnected;
   }
 
   /**
-   * Tells whether an adapter can be used now.
+   * Returns whether an adapter is in the engine's memory, so that requests can run on it now.
    *
    * @param adapter adapter and version
-   * @return whether the endpoint holds it
+   * @return whether it is in memory; for a base model, whether that model is, in any version
    */
   public boolean holds(HeldAdapter adapter) {
-    return adapter.key().isBase() ? holdsModel(adapter.key().model()) : held.contains(adapter);
+    return adapter.key().isBase()
+        ? holdsModel(adapter.key().model())
+        : residentAdapters.contains(adapter);
   }
 
-  /** The endpoint is gone. */
+  /** Marks the endpoint as removed. */
   public void removed() {
     removed = true;
   }
 
   /**
-   * Tells whether requests may be placed here.
+   * Returns whether requests may be placed here.
    *
-   * @return false when it takes no new work or has ended
+   * @return false when the endpoint accepts no new work, has ended or was removed
    */
   public boolean usable() {
     return !removed && !ended && !leaving();
   }
 
-  /** Returns whether the endpoint has just started and is slow for a while. */
-  boolean cold(long now) {
-    return now < warmMillis;
+  /** Returns whether the endpoint is in the slow phase after its start. */
+  boolean isCold(long now) {
+    return now < warmUpEndMillis;
   }
 
   /**
-   * Decides whether a request may be sent here.
+   * Returns whether a request may be sent here now.
    *
    * @param now milliseconds
-   * @return false also while the endpoint wants no requests of this entry
+   * @return false also while the endpoint has asked this entry to back off
    */
   public boolean takesRequests(long now) {
     return usable() && availability.decide(now) instanceof SendDecision.Now;
   }
 
   /**
-   * Tells whether the endpoint takes no new work.
+   * Returns whether the endpoint accepts no new work.
    *
-   * @return as the list, its agent or one of its own answers says
+   * @return true if the list, the agent or one of the endpoint's own responses says so
    */
   public boolean leaving() {
     return leaving || endpoint.leaving() || availability.leaving();
   }
 
   /**
-   * Tells whether an adapter is being loaded.
+   * Returns whether an adapter is being loaded.
    *
    * @param adapter adapter and version
-   * @return whether its load has been ordered
+   * @return whether the agent has reported that its load is ordered
    */
   public boolean awaits(HeldAdapter adapter) {
-    return coming.contains(adapter);
+    return loadingAdapters.contains(adapter);
   }
 
   /**
-   * Tells whether the engine has a base model; without it no adapter of it can be loaded.
+   * Returns whether a base model is in the engine's memory. Without it none of its adapters can be
+   * loaded.
    *
-   * @param model its name
-   * @return as far as known
+   * @param model the model's name
+   * @return whether the model or one of its adapters was reported there
    */
   public boolean holdsModel(String model) {
-    return held.stream().anyMatch(one -> one.key().model().equals(model));
+    return residentAdapters.stream().anyMatch(one -> one.key().model().equals(model));
   }
 
-  /** Tells whether the engine has a copy of an adapter that has left its places. */
+  /** Returns whether the engine probably still caches a copy of an adapter that it has evicted. */
   boolean hasCopy(HeldAdapter adapter) {
-    Long version = recent.get(adapter.key());
+    Long version = evicted.get(adapter.key());
     if (version == null || version != adapter.version()) {
       return false;
     }
-    int later = recent.size();
-    for (AdapterKey key : recent.keySet()) {
-      later--;
+    int laterEvictions = evicted.size();
+    for (AdapterKey key : evicted.keySet()) {
+      laterEvictions--;
       if (key.equals(adapter.key())) {
         break;
       }
     }
-    return later < costs.copies();
+    return laterEvictions < costs.copies();
   }
 
   LoadCosts costs() {
@@ -399,55 +408,57 @@
   }
 
   /**
-   * Returns places a load could have at once; zero or less means that it has to wait for one. What
-   * this entry has just asked for counts as taken, or a burst would follow one free place.
+   * Returns the free adapter slots; with zero or less a load has to wait for one. Slots that this
+   * entry has just requested count as taken, or a burst of loads would be placed on one free slot.
    */
-  int sparePlaces(long now) {
-    asked.values().removeIf(askedMillis -> now - askedMillis >= UNREPORTED_MILLIS);
-    return sparePlaces - asked.size();
+  int freeAdapterSlots(long now) {
+    requestedAdapters
+        .values()
+        .removeIf(requestedMillis -> now - requestedMillis >= MAX_REPORT_DELAY_MILLIS);
+    return reportedFreeSlots - requestedAdapters.size();
   }
 
   /**
-   * Tells whether a request without its adapter would have to wait for a run to end.
+   * Returns whether a request whose adapter is not loaded would have to wait for a run to end.
    *
    * @param now milliseconds
-   * @return whether more adapters wait for places than there are
+   * @return whether more adapters wait for slots than there are free slots
    */
   public boolean crowded(long now) {
-    return sparePlaces(now) < 0;
+    return freeAdapterSlots(now) < 0;
   }
 
   /**
-   * Returns the requests at the endpoint.
+   * Returns the number of requests at the endpoint.
    *
-   * @return this entry's and, as far as known, those of others
+   * @return this entry's requests and those that the agent reported of other entries
    */
   public int running() {
-    return running + othersRunning;
+    return ownRunning + othersRunning;
   }
 
   /**
-   * Returns what the engine has to read before it is done with what it was sent.
+   * Returns the prompt tokens that the engine has accepted and not processed yet.
    *
-   * @return tokens of this entry's requests and, as far as known, of others'
+   * @return tokens of this entry's requests and those that the agent reported of other entries
    */
   public long unreadTokens() {
-    return promptTokens + othersPromptTokens;
+    return ownPromptTokens + othersPromptTokens;
   }
 
   /**
-   * Returns the rate of requests that the endpoint takes.
+   * Returns the rate limit of the endpoint.
    *
-   * @return as its answers to this entry state it
+   * @return the limit stated in its responses to this entry
    */
   public EndpointLimit limit() {
     return limit;
   }
 
   /**
-   * Returns what the endpoint has stated of whether it takes requests.
+   * Returns whether the endpoint accepts requests, by its own responses.
    *
-   * @return by its answers to this entry
+   * @return the state from its responses to this entry
    */
   public EndpointAvailability availability() {
     return availability;
--- a/runtime/src/main/java/org/hornbeamusher/placement/Placement.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/Placement.java
@@ -1,18 +1,20 @@
 package org.hornbeamusher.placement;
 
-/** Where a request is to run. */
+/** The result of placing a request: the endpoint at which it is to run, or why there is none. */
 public sealed interface Placement {
 
   /**
-   * At an endpoint.
+   * The request is assigned to an endpoint.
    *
-   * @param endpoint which one
-   * @param present whether it can start there now; otherwise its adapter is to be loaded first
-   * @param estimateMillis until its first event
-   * @param stallMillis how much of that is the load
-   * @param placeFree whether a load could begin now: the base model is there, and a place is free
-   * @param rateWaitMillis how much of the estimate is the wait for a permit, where the endpoint
-   *     limits the rate of its requests and the limit is used up
+   * @param endpoint the endpoint
+   * @param present whether the request can start there now; otherwise its adapter must be loaded
+   *     first
+   * @param estimateMillis estimated time until its first event
+   * @param stallMillis the part of the estimate that is spent loading the adapter
+   * @param placeFree whether a load could begin now: the base model is in memory and an adapter
+   *     slot is free
+   * @param rateWaitMillis the part of the estimate that is spent waiting for a permit, if the
+   *     endpoint has a rate limit and it is used up
    */
   record At(
       EndpointView endpoint,
@@ -24,29 +26,29 @@
       implements Placement {
 
     /**
-     * How long a load takes from its order to its grant, with two others before it. What entries
-     * know of an agent's free places is a tenth of a second old; a request that left its line
-     * earlier would chase places that others have taken by then.
+     * The time from ordering a load until the slot is granted, with two loads queued before it. An
+     * entry's knowledge of free adapter slots is 100 ms old; a request that left its queue earlier
+     * would move to slots that other requests have taken by then.
      */
-    private static final long LOAD_MILLIS = 450;
+    private static final long OVERDUE_LOAD_MILLIS = 450;
 
     /**
-     * Tells whether a request that waits for a load elsewhere should come here.
+     * Returns whether a request that waits for a load at another endpoint should move to this one.
      *
      * @param waitedMillis how long it has waited there
-     * @return true when it could start here at once, or when the other load is overdue and nothing
-     *     but a load has to be waited for here
+     * @return true when it could start here at once, or when the other load is overdue and a load
+     *     could begin here at once
      */
     public boolean worthLeavingFor(long waitedMillis) {
-      return present || (waitedMillis >= LOAD_MILLIS && placeFree);
+      return present || (waitedMillis >= OVERDUE_LOAD_MILLIS && placeFree);
     }
   }
 
   /**
-   * Nowhere.
+   * No endpoint can take the request.
    *
-   * @param reason what is missing
-   * @param waitMillis until the first endpoint takes requests again; 0 where that is not known
+   * @param reason why
+   * @param waitMillis until the first endpoint accepts requests again; 0 if that is not known
    */
   record Nowhere(Reason reason, long waitMillis) implements Placement {
 
@@ -59,9 +61,9 @@
   enum Reason {
     /** No endpoint of the service is in service. */
     NO_ENDPOINT,
-    /** Every endpoint has been tried. */
+    /** Every usable endpoint of the service has been tried. */
     ALL_TRIED,
-    /** Every endpoint wants no requests of this entry for a while. */
+    /** Every usable endpoint has asked this entry to back off. */
     ALL_BACK_OFF
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/placement/PlacementRequest.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/PlacementRequest.java
@@ -5,13 +5,13 @@
 import org.hornbeamusher.directory.HeldAdapter;
 
 /**
- * What placing needs to know of a request.
+ * The properties of a request that determine its placement.
  *
- * @param hash the same for the same request
+ * @param hash the same for each attempt of the request
  * @param adapter the adapter and version it must run on; empty at a plain service
  * @param promptTokens length of its prompt
- * @param outputTokens most tokens of its answer
- * @param bytes length of its content
+ * @param outputTokens maximum length of its output
+ * @param bytes length of its body
  * @param parts the parts of its prompt in order
  */
 public record PlacementRequest(
--- a/runtime/src/main/java/org/hornbeamusher/placement/Placer.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/Placer.java
@@ -12,39 +12,37 @@
 import org.hornbeamusher.routing.Rendezvous;
 
 /**
- * Places each request where its first event is expected soonest.
+ * Places each request at the endpoint with the lowest cost, which is mainly the expected time to
+ * the first event.
  *
- * <p>One figure in milliseconds is reckoned for every endpoint of the service:
+ * <p>The cost is computed in milliseconds for every endpoint of the service:
  *
  * <pre>
- *   prompts waiting to be read there + this prompt, less what is cached
- *   + load of the adapter, when it is not there
- *   + wait for a slot, when all are taken
- *   + a little for each request that runs there, for another zone, for lately failed requests,
- *     for a recent start
- *   + a share of the time in which this prompt is read, for each request that it holds up
- *   + a step for each place down the adapter's preference order, when it is not there
+ *   time to process the pending prompts and this one, without its cached part
+ *   + time to load the adapter, if it is not in memory
+ *   + wait for a request slot, if all are taken
+ *   + penalties: each running request, another availability zone, recent failures, a recent start
+ *   + a fraction of this prompt's processing time for each running request, which it delays
+ *   + a step for each position down the adapter's preference order, if it is not in memory
  * </pre>
  *
- * <p>Example: an adapter is held by A, where 9,000 tokens of prompts wait (205 ms). B is idle and
- * could load the adapter from the weight store (250 ms, and 150 for its price). The request goes to
- * A. At 18,000 waiting tokens it goes to B, which is a second home from then on: a hot adapter gets
- * more homes as its queue grows past the cost of a load, and loses them when they are evicted for
- * want of use.
+ * <p>Example: an adapter is in memory at A, where 9,000 prompt tokens are pending (205 ms). B is
+ * idle and could load the adapter from the weight store (250 ms, plus 150 for the price of the
+ * fetch). The request goes to A. At 18,000 pending tokens it goes to B, which from then on has the
+ * adapter as well: a hot adapter is replicated when its queue costs more than a load, and its
+ * unused replicas are evicted.
  *
- * <p>An endpoint that limits the rate of its requests, and has had as many as it takes, is chosen
- * only when all others have, too: it asks for relief, and its queue does not show when it takes the
- * next request.
+ * <p>An endpoint whose rate limit is used up is chosen only if the rate limits of all others are
+ * used up, too: its queue does not show when it will accept the next request.
  *
- * <p>An endpoint that wants no requests of this entry for a while is not chosen before that time
- * has passed.
+ * <p>An endpoint that has asked this entry to back off is not chosen until that time has passed.
  *
- * <p>The preference order is that of rendezvous hashing, so that entries which do not talk to each
- * other send a cold adapter to the same endpoint and it is loaded once.
+ * <p>The preference order comes from rendezvous hashing, so that entries send a cold adapter to the
+ * same endpoint without coordination and it is loaded once.
  *
- * <p>Rejected: the least loaded endpoint (two thirds of the requests then wait for a load);
- * rendezvous alone (a hot adapter's home queues behind fourteen others while five endpoints have
- * room).
+ * <p>Rejected alternatives: the least loaded endpoint (two thirds of the requests then wait for a
+ * load); rendezvous hashing alone (at the endpoint of a hot adapter fourteen requests queue while
+ * five endpoints have capacity).
  */
 public final class Placer {
 
@@ -55,9 +53,9 @@
   private final Map<EndpointId, EndpointView> views = new HashMap<>();
 
   /**
-   * Creates a placer that knows no endpoint.
+   * Creates a placer without endpoints.
    *
-   * @param settings the figures
+   * @param settings the parameters of the cost function
    * @param zone this entry's availability zone
    */
   public Placer(PlacementSettings settings, String zone) {
@@ -68,16 +66,16 @@
   /**
    * Returns the endpoints.
    *
-   * @return the views by id; changes go through to the placer
+   * @return the views by id; this is the placer's own mutable map
    */
   public Map<EndpointId, EndpointView> views() {
     return views;
   }
 
   /**
-   * Counts the endpoints that limit the rate of their requests.
+   * Counts the endpoints that have stated a rate limit.
    *
-   * @return how many state a limit
+   * @return the number of endpoints with a limit
    */
   public long limitedEndpoints() {
     return views.values().stream()
@@ -86,10 +84,10 @@
   }
 
   /**
-   * Counts the endpoints that want no requests of this entry for a while.
+   * Counts the endpoints that have asked this entry to back off.
    *
    * @param now milliseconds
-   * @return how many have asked for a pause that has not ended
+   * @return the number of endpoints whose back-off time has not passed
    */
   public long backoffEndpoints(long now) {
     return views.values().stream()
@@ -98,9 +96,9 @@
   }
 
   /**
-   * Counts the endpoints whose answers say that they are leaving.
+   * Counts the endpoints whose responses say that they are leaving.
    *
-   * @return how many are known
+   * @return the number of known endpoints that leave
    */
   public long leavingEndpoints() {
     return views.values().stream().filter(view -> view.availability().leaving()).count();
@@ -110,10 +108,10 @@
    * Places a request.
    *
    * @param service the service it goes to
-   * @param request what it is
-   * @param tried lives of endpoints that are not to be tried again
+   * @param request the request
+   * @param tried incarnations of endpoints that must not be tried again
    * @param now milliseconds
-   * @return where it goes
+   * @return the chosen endpoint, or why there is none
    */
   public Placement place(
       String service, PlacementRequest request, Set<EndpointLife> tried, long now) {
@@ -121,19 +119,19 @@
     EndpointView best = null;
     Cost bestCost = null;
     boolean skipped = false;
-    boolean takes = false;
-    long leastBackoff = Long.MAX_VALUE;
-    Preference preference = request.adapter().map(a -> preference(service, a)).orElse(null);
+    boolean accepting = false;
+    long minBackoff = Long.MAX_VALUE;
+    PreferenceOrder preference = request.adapter().map(a -> preference(service, a)).orElse(null);
     for (EndpointView view : all) {
       if (!view.endpoint().service().equals(service) || !view.usable()) {
         continue;
       }
       long backoff = view.availability().backoffMillis(now);
       if (backoff > 0) {
-        leastBackoff = Math.min(leastBackoff, backoff);
+        minBackoff = Math.min(minBackoff, backoff);
         continue;
       }
-      takes = true;
+      accepting = true;
       if (tried.contains(view.life())) {
         skipped = true;
         continue;
@@ -144,8 +142,8 @@
         bestCost = cost;
       }
     }
-    if (!takes && leastBackoff < Long.MAX_VALUE) {
-      return new Placement.Nowhere(Placement.Reason.ALL_BACK_OFF, leastBackoff);
+    if (!accepting && minBackoff < Long.MAX_VALUE) {
+      return new Placement.Nowhere(Placement.Reason.ALL_BACK_OFF, minBackoff);
     }
     if (best == null) {
       return new Placement.Nowhere(
@@ -161,50 +159,54 @@
   }
 
   /**
-   * Right after everything has restarted no engine holds its base model, and all have free places.
-   * A request that left its line for one of them would begin to wait anew, from engine to engine.
+   * Requires the base model, not only a free slot: right after a restart of all engines none has
+   * its base model in memory and all have free slots. A request that left its queue for one of them
+   * would start to wait again, at one engine after the other.
    */
   private static boolean canLoad(EndpointView view, PlacementRequest request, long now) {
-    boolean model =
+    boolean modelResident =
         request.adapter().map(adapter -> view.holdsModel(adapter.key().model())).orElse(true);
-    return model && view.sparePlaces(now) > 0;
+    return modelResident && view.freeAdapterSlots(now) > 0;
   }
 
-  private Cost cost(EndpointView view, PlacementRequest request, Preference preference, long now) {
-    return reckon(view, request, preference, now).after(view.limit().waitMillis(now));
+  private Cost cost(
+      EndpointView view, PlacementRequest request, PreferenceOrder preference, long now) {
+    return costWithoutRateLimit(view, request, preference, now)
+        .withRateWait(view.limit().waitMillis(now));
   }
 
-  private Cost reckon(
-      EndpointView view, PlacementRequest request, Preference preference, long now) {
+  private Cost costWithoutRateLimit(
+      EndpointView view, PlacementRequest request, PreferenceOrder preference, long now) {
     double penalty = view.health().penaltyMillis(now);
-    penalty += view.cold(now) ? settings.coldMillis() : 0;
-    penalty += view.endpoint().zone().equals(zone) ? 0 : crossing(request);
+    penalty += view.isCold(now) ? settings.coldStartMillis() : 0;
+    penalty += view.endpoint().zone().equals(zone) ? 0 : crossZonePenalty(request);
     if (request.adapter().isEmpty()) {
       return plainCost(view, request, penalty);
     }
     HeldAdapter adapter = request.adapter().get();
-    double read =
+    double promptTime =
         (view.unreadTokens() + view.uncachedTokens(request))
             / settings.promptTokensPerMilli()
-            * view.health().pace();
-    double latency = read + view.running() * settings.runningMillis() + slotWait(view);
-    penalty += delayOfOthers(view, request);
+            * view.health().slowdown();
+    double latency = promptTime + view.running() * settings.runningRequestMillis() + slotWait(view);
+    penalty += delayCost(view, request);
     if (view.holds(adapter)) {
       return new Cost(latency, penalty, 0, true);
     }
     double stall = stall(view, adapter, now);
-    double choice = penalty + preference.position(view) * settings.preferenceMillis();
+    double loadPenalty = penalty + preference.position(view) * settings.preferenceStepMillis();
     if (!view.awaits(adapter) && !view.hasCopy(adapter)) {
-      choice += settings.fetchMillis();
+      loadPenalty += settings.fetchPriceMillis();
     }
-    return new Cost(latency + stall, choice, stall, false);
+    return new Cost(latency + stall, loadPenalty, stall, false);
   }
 
   /**
-   * An engine runs as many requests at once as it has slots, and the others wait for one to end. A
-   * hot adapter's engine has its slots taken while others have room: after a restart of everything
-   * the callers of one adapter in five waited there for two seconds, where a second home costs the
-   * price of a load.
+   * Returns the wait for a request slot. An engine runs as many requests at once as it has slots;
+   * further ones wait for a run to end. The slots at a hot adapter's engine may all be taken while
+   * other engines have free ones: without this term, after a restart of all engines the callers of
+   * one adapter in five waited for two seconds, although loading the adapter at a second engine
+   * would have taken less.
    */
   private static double slotWait(EndpointView view) {
     int slots = Math.max(1, view.endpoint().slots());
@@ -213,28 +215,29 @@
   }
 
   /**
-   * Prompts are read between the tokens of what runs. A run that is held up holds the place of its
-   * adapter for longer, and places are what a full day lacks.
+   * Returns the cost of delaying the running requests. Prompts are processed between their decoding
+   * steps. A delayed run occupies its adapter slot for longer, and adapter slots are the scarce
+   * resource under full load.
    */
-  private double delayOfOthers(EndpointView view, PlacementRequest request) {
-    double reading = view.uncachedTokens(request) / settings.promptTokensPerMilli();
-    return reading * view.running() * settings.delayShare();
+  private double delayCost(EndpointView view, PlacementRequest request) {
+    double promptTime = view.uncachedTokens(request) / settings.promptTokensPerMilli();
+    return promptTime * view.running() * settings.delayFraction();
   }
 
   /**
-   * Takes how long a first event took, to reckon with the engine's own speed from now on.
+   * Records the time to a first event, so that later placements use the engine's measured speed.
    *
    * @param view the engine
-   * @param tokens unread there when the request was sent, its own included
-   * @param takenMillis from the sending until the event
+   * @param tokens prompt tokens pending there when the request was sent, including its own
+   * @param takenMillis from sending the request until the event
    */
   public void promptTook(EndpointView view, long tokens, long takenMillis) {
     view.promptTook(tokens, settings.promptTokensPerMilli(), takenMillis);
   }
 
-  private double crossing(PlacementRequest request) {
-    return settings.zoneMillis()
-        + settings.zoneMillisPerKilobyte() * request.bytes() / BYTES_PER_KILOBYTE;
+  private double crossZonePenalty(PlacementRequest request) {
+    return settings.crossZoneMillis()
+        + settings.crossZoneMillisPerKilobyte() * request.bytes() / BYTES_PER_KILOBYTE;
   }
 
   private Cost plainCost(EndpointView view, PlacementRequest request, double penalty) {
@@ -247,21 +250,21 @@
 
   private double stall(EndpointView view, HeldAdapter adapter, long now) {
     if (!view.agentConnected() || !view.holdsModel(adapter.key().model())) {
-      return settings.crowdMillis();
+      return settings.notLoadableMillis();
     }
     if (adapter.key().isBase()) {
       return 0;
     }
     if (view.awaits(adapter)) {
-      return settings.loadingMillis();
+      return settings.remainingLoadMillis();
     }
     LoadCosts costs = view.costs();
     double load = view.hasCopy(adapter) ? costs.copyMillis() : costs.storeMillis();
-    int queue = Math.max(0, 1 - view.sparePlaces(now));
-    return load + settings.replaceMillis() + (double) queue * costs.placeMillis();
+    int queue = Math.max(0, 1 - view.freeAdapterSlots(now));
+    return load + settings.evictionMillis() + (double) queue * costs.placeMillis();
   }
 
-  private Preference preference(String service, HeldAdapter adapter) {
+  private PreferenceOrder preference(String service, HeldAdapter adapter) {
     long[] hashes = new long[views.size()];
     int count = 0;
     for (EndpointView view : views.values()) {
@@ -269,29 +272,30 @@
         hashes[count++] = view.hash();
       }
     }
-    return new Preference(adapter.key(), Arrays.copyOf(hashes, count));
+    return new PreferenceOrder(adapter.key(), Arrays.copyOf(hashes, count));
   }
 
   /**
-   * What sending a request to an endpoint costs.
+   * The cost of sending a request to an endpoint.
    *
-   * @param latency milliseconds until its first event
-   * @param choice milliseconds that only weigh one endpoint against another
-   * @param stall the part of the latency that is a load
-   * @param present whether it can start at once
-   * @param rateWait the part of the latency that is the wait for a permit to send it
+   * @param latency expected milliseconds until its first event
+   * @param penalty penalties in milliseconds that count only in the comparison of endpoints
+   * @param stall the part of the latency that is spent loading the adapter
+   * @param present whether the request can start without a load
+   * @param rateWait the part of the latency that is spent waiting for a permit to send it
    */
-  private record Cost(double latency, double choice, double stall, boolean present, long rateWait) {
+  private record Cost(
+      double latency, double penalty, double stall, boolean present, long rateWait) {
 
-    Cost(double latency, double choice, double stall, boolean present) {
-      this(latency, choice, stall, present, 0);
+    Cost(double latency, double penalty, double stall, boolean present) {
+      this(latency, penalty, stall, present, 0);
     }
 
-    Cost after(long wait) {
-      return wait == 0 ? this : new Cost(latency + wait, choice, stall, present, wait);
+    Cost withRateWait(long wait) {
+      return wait == 0 ? this : new Cost(latency + wait, penalty, stall, present, wait);
     }
 
-    /** An endpoint that takes a request now goes before any that has to be waited for. */
+    /** Orders by total cost, endpoints that need no wait for a permit first. */
     boolean lessThan(Cost other) {
       if (permitted() != other.permitted()) {
         return permitted();
@@ -304,7 +308,7 @@
     }
 
     double total() {
-      return latency + choice;
+      return latency + penalty;
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/placement/Preference.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/PreferenceOrder.java
@@ -5,20 +5,21 @@
 import org.hornbeamusher.routing.Rendezvous;
 
 /**
- * The order in which the endpoints of a service come for an adapter, by rendezvous hashing.
+ * The order in which the endpoints of a service are preferred for an adapter, by rendezvous
+ * hashing.
  *
- * <p>Each endpoint has a weight for the adapter, and the heaviest comes first. All weights are
- * sorted once a request: counting, for every endpoint, how many are heavier takes the square of
- * their number, which is two million at 1,400 endpoints.
+ * <p>Each endpoint has a weight for the adapter, and the heaviest comes first. The weights are
+ * sorted once per request. Counting for every endpoint how many are heavier would take quadratic
+ * time: two million comparisons at 1,400 endpoints.
  */
-final class Preference {
+final class PreferenceOrder {
 
   private final long key;
 
-  /** Ascending; with the sign turned, so that the order of signed numbers is the unsigned one. */
+  /** Ascending; the sign bit is flipped, so that signed comparison gives the unsigned order. */
   private final long[] weights;
 
-  Preference(AdapterKey adapter, long[] hashes) {
+  PreferenceOrder(AdapterKey adapter, long[] hashes) {
     key = Rendezvous.hash(adapter.toString());
     weights = new long[hashes.length];
     for (int i = 0; i < hashes.length; i++) {
@@ -31,7 +32,7 @@
     return Rendezvous.weight(key, hash) ^ Long.MIN_VALUE;
   }
 
-  /** Returns how many endpoints come before one of them. */
+  /** Returns how many endpoints are preferred to the given one. */
   int position(EndpointView view) {
     return position(view.hash());
   }
--- a/runtime/src/main/java/org/hornbeamusher/placement/PrefixCache.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/PrefixCacheEstimate.java
@@ -7,19 +7,21 @@
 import org.hornbeamusher.routes.AdapterKey;
 
 /**
- * Which parts of prompts an engine probably still has in memory, by what was sent to it.
+ * Estimates which prompt parts an engine still has in its prefix cache, from the prompts that this
+ * entry has sent to it.
  *
- * <p>An engine keeps a part for one adapter only, and a part is of use only if all parts before it
- * are kept too. The least recently used parts yield, so the book forgets in the same order, at a
- * share of the engine's memory: other entries send to it as well.
+ * <p>An engine caches a part for one adapter only, and a cached part is usable only if all parts
+ * before it are cached, too. The engine evicts the least recently used parts, so the estimate
+ * evicts in the same order. Its limit is a fraction of the engine's memory, because other entries
+ * send prompts to the engine as well.
  */
-final class PrefixCache {
+final class PrefixCacheEstimate {
 
   private final long limitTokens;
   private final LinkedHashMap<Key, Integer> parts = new LinkedHashMap<>(16, 0.75f, true);
   private long tokens;
 
-  PrefixCache(long limitTokens) {
+  PrefixCacheEstimate(long limitTokens) {
     this.limitTokens = limitTokens;
   }
 
@@ -34,7 +36,7 @@
     return cached;
   }
 
-  void sent(AdapterKey adapter, List<PromptPart> prompt) {
+  void recordSent(AdapterKey adapter, List<PromptPart> prompt) {
     for (PromptPart part : prompt) {
       if (parts.put(new Key(adapter, part.id()), part.tokens()) == null) {
         tokens += part.tokens();
--- a/runtime/src/main/java/org/hornbeamusher/placement/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Decides at which endpoint a request runs, or that it cannot run in time. */
+/** Selects the endpoint at which a request runs. */
 package org.hornbeamusher.placement;
--- a/runtime/src/test/java/org/hornbeamusher/placement/PlacerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/placement/PlacerTest.java
@@ -23,7 +23,7 @@
 
 class PlacerTest {
 
-  private static final int PLACES = 7;
+  private static final int ADAPTER_SLOTS = 7;
   private static final int ENGINE_SLOTS = 64;
   private static final int PLAIN_SLOTS = 4;
   private static final HeldAdapter BASE = new HeldAdapter(new AdapterKey("m", ""), 1);
@@ -42,8 +42,8 @@
   }
 
   /**
-   * A burst of long prompts on one adapter. Sent to its only home, each would wait behind the ones
-   * before it while other engines are idle; past the cost of a load it gets a second home.
+   * Guards against a queue of long prompts at the only engine with their adapter while other
+   * engines are idle. Once the queue costs more than a load, a second engine must get the adapter.
    */
   @Test
   void hotAdapterGetsSecondHomeWhenItsQueueCostsMoreThanLoad() {
@@ -62,8 +62,8 @@
   }
 
   /**
-   * All places of one engine are held by running requests. A cold adapter sent there would wait for
-   * seconds until one ends, while another engine has a place.
+   * Guards against placing a cold adapter at an engine whose adapter slots are all used by running
+   * requests. It would wait there for seconds, while another engine has a free slot.
    */
   @Test
   void coldAdapterGoesWherePlaceIsFree() {
@@ -74,9 +74,9 @@
   }
 
   /**
-   * An engine crashes; its agent says so at once, the list names it for three seconds more. Placed
-   * there, requests were refused one after the other and those without their adapter waited for a
-   * load that nobody would order, until they were out of time with five engines working.
+   * Guards against requests placed at a crashed engine. Its agent reports the crash at once, but
+   * the list contains the engine for three more seconds. Requests sent there would be refused, and
+   * those that need a load would wait for it until they time out, although other engines work.
    */
   @Test
   void engineThatItsAgentHasLostGetsNothing() {
@@ -88,7 +88,8 @@
   }
 
   /**
-   * An agent that was starved took its engine for dead; it says so and the engine is used again.
+   * Guards against losing an engine for good after its agent, which got no CPU time for a while,
+   * has reported it as ended by mistake. With the next report the engine must be used again.
    */
   @Test
   void engineThatItsAgentSeesAgainIsUsedAgain() {
@@ -100,9 +101,9 @@
   }
 
   /**
-   * Three cold adapters are asked for within a moment, and two engines have a free place each. An
-   * entry that waits for the agents to count what it has asked for sends all three to one of them,
-   * where two wait for seconds.
+   * Guards against a burst of cold adapters placed on one free slot. Two engines have a free slot
+   * each. If an entry did not count its own requested slots before the agents report them, it would
+   * place three adapters at one engine, where two of them wait for seconds.
    */
   @Test
   void burstOfColdAdaptersIsSpreadBeforeAgentsReportIt() {
@@ -121,16 +122,17 @@
   }
 
   /**
-   * One of two engines reads its prompts at a third of its sheet's speed; its health check is good.
-   * With equal shares its callers get their first word late while the other engine has room.
+   * Guards against equal shares of prompts for a slow engine. One of two engines processes prompts
+   * at a third of its nominal speed and passes its health check. Its first events would be late
+   * while the other engine has capacity.
    */
   @Test
   void slowEngineGetsFewerPrompts() {
     EndpointView slow = engine("e1", "a", Set.of(HOT));
-    EndpointView sound = engine("e2", "a", Set.of(HOT));
+    EndpointView normal = engine("e2", "a", Set.of(HOT));
     for (int i = 0; i < 40; i++) {
       placer.promptTook(slow, 8_800, 600);
-      placer.promptTook(sound, 8_800, 200);
+      placer.promptTook(normal, 8_800, 200);
     }
     int sentToSlow = 0;
     for (int i = 0; i < 8; i++) {
@@ -142,8 +144,8 @@
   }
 
   /**
-   * Two engines hold the adapter, one writes ten long answers. A long prompt read there holds each
-   * of them up for its whole reading, and their adapters keep their places for longer; a short one
+   * Guards against long prompts at an engine with many running requests. Processing the prompt
+   * delays each of them, so that their adapters occupy their slots for longer; a short prompt
    * hardly does.
    */
   @Test
@@ -155,35 +157,36 @@
     assertEquals("e1", place(HOT, 100).endpoint().id().value());
   }
 
-  /** One slow first event among many is no slow engine, and a fast one earns no credit. */
+  /** A single slow first event must not mark an engine as slow; the factor is never below 1. */
   @Test
-  void paceIsNeitherSetByOneAnswerNorBelowTheSheets() {
+  void slowdownIsNotSetByOneResponseAndNeverBelowOne() {
     EndpointHealth health = new EndpointHealth();
-    health.read(200, 800);
-    assertTrue(health.pace() < 1.2);
+    health.recordPromptTime(200, 800);
+    assertTrue(health.slowdown() < 1.2);
     for (int i = 0; i < 100; i++) {
-      health.read(200, 20);
+      health.recordPromptTime(200, 20);
     }
-    assertEquals(1, health.pace());
+    assertEquals(1, health.slowdown());
   }
 
-  /** What was asked for is in the agent's reports after a while, and is not counted twice then. */
+  /** A requested slot must not be counted twice once the agent's reports contain it. */
   @Test
-  void placeAskedForIsCountedUntilTheAgentCountsIt() {
+  void requestedSlotIsCountedUntilAgentReportsIt() {
     EndpointView engine = engine("e1", "a", Set.of());
     engine.reportedLoad(0, 0, 1);
     engine.started(request(COLD, 800), 0);
-    assertEquals(0, engine.sparePlaces(89));
-    assertEquals(1, engine.sparePlaces(90));
+    assertEquals(0, engine.freeAdapterSlots(89));
+    assertEquals(1, engine.freeAdapterSlots(90));
   }
 
   /**
-   * A burst of cold adapters. Each engine seems to have a free place, because what is known of it
-   * is a tenth of a second old; requests that ran after these places left their line every time
-   * before their load was done, and were refused in the end with every engine idle.
+   * Guards against requests that move from engine to engine during a burst of cold adapters. The
+   * known numbers of free slots are 100 ms old, so each engine seems to have one. Requests that
+   * followed them left their queue before their load was done each time, and were refused in the
+   * end with all engines idle.
    */
   @Test
-  void requestStaysInLineUntilItsLoadIsOverdue() {
+  void requestStaysInQueueUntilItsLoadIsOverdue() {
     engine("e1", "a", Set.of()).reportedLoad(0, 0, 1);
     Placement.At free = place(COLD, 800);
     assertFalse(free.worthLeavingFor(100));
@@ -191,12 +194,13 @@
   }
 
   /**
-   * Everything has restarted. Every engine has free places and none its base model, which takes a
-   * second. Requests that left their line for a free place elsewhere began to wait anew each time,
-   * and adapters were loaded at two or three engines for one request.
+   * Guards against requests that move between engines after a restart of all of them. Every engine
+   * has free slots and none its base model, which takes a second to load. Requests that left their
+   * queue for a free slot elsewhere started to wait again each time, and adapters were loaded at
+   * two or three engines for one request.
    */
   @Test
-  void requestStaysInLineWhileNoEngineHasItsModel() {
+  void requestStaysInQueueWhileNoEngineHasItsModel() {
     EndpointView engine = engine("e1", "a", Set.of());
     engine.reported(Set.of(), Set.of(), false);
     engine.reportedLoad(0, 0, 4);
@@ -204,13 +208,13 @@
   }
 
   @Test
-  void requestLeavesItsLineForEngineThatHoldsItsAdapter() {
+  void requestLeavesItsQueueForEngineThatHoldsItsAdapter() {
     engine("e1", "a", Set.of(HOT));
     assertTrue(place(HOT, 800).worthLeavingFor(0));
   }
 
   @Test
-  void adapterThatWasHeldLatelyIsLoadedAgainWhereItWas() {
+  void evictedAdapterIsLoadedAgainWhereItsCopyIs() {
     EndpointView first = engine("e1", "a", Set.of(COLD));
     engine("e2", "a", Set.of());
     first.reported(Set.of(BASE), Set.of(), false);
@@ -218,12 +222,13 @@
   }
 
   /**
-   * An engine with fourteen places has each taken for half a second; a place is free every 36 ms.
-   * Reckoned with a quarter of a second, its callers were sent past the copy of their adapter to
-   * another engine, which fetched it from the weight store again.
+   * Guards against fetching an adapter again although an engine has a copy and soon a free slot. An
+   * engine with fourteen slots, each taken for half a second, has a free one every 36 ms. With an
+   * assumed wait of 250 ms its callers were sent to another engine, which fetched the adapter from
+   * the weight store.
    */
   @Test
-  void requestWaitsAtCopyWhenPlacesAreFreeSoon() {
+  void requestWaitsAtEngineWithCopyWhenSlotIsFreeSoon() {
     EndpointView first = engine("e1", "a", Set.of(COLD));
     EndpointView other = engine("e2", "a", Set.of());
     first.reported(Set.of(BASE), Set.of(), false);
@@ -236,12 +241,13 @@
   }
 
   /**
-   * A hot adapter's engine has all its slots taken and twenty callers wait there. Seen as twenty
-   * short steps that is still the soonest place; each of them waits for runs to end, and a second
-   * engine could have loaded the adapter meanwhile.
+   * Guards against a cost that ignores the wait for request slots. All slots of a hot adapter's
+   * engine are taken and twenty requests wait there for runs to end. Counted only as twenty running
+   * requests, that engine would still be the cheapest, although a second one could have loaded the
+   * adapter meanwhile.
    */
   @Test
-  void engineWithoutFreeSlotIsPassedForOneThatCanLoad() {
+  void engineWithoutFreeSlotIsSkippedForOneThatCanLoad() {
     EndpointView hot = engine("e1", "a", Set.of(HOT));
     engine("e2", "a", Set.of());
     hot.listed(endpoint("e1", "llm", "a", 4), 0);
@@ -251,9 +257,9 @@
     assertEquals("e2", place(HOT, 800).endpoint().id().value());
   }
 
-  /** What left an engine's places long ago has no copy there any more, however deep they are. */
+  /** An adapter counts as copied only within the number of copies that the agent reports. */
   @Test
-  void copiesReachAsFarBackAsTheAgentSays() {
+  void numberOfCopiesIsAsReportedByAgent() {
     EndpointView engine = engine("e1", "a", Set.of(COLD));
     engine.reported(Set.of(BASE, HOT), Set.of(), false);
     engine.reported(Set.of(BASE), Set.of(), false);
@@ -264,9 +270,9 @@
     assertTrue(engine.hasCopy(HOT));
   }
 
-  /** Entries that do not talk to each other must not load a cold adapter at two engines at once. */
+  /** Entries must not load a cold adapter at two engines at once, without any coordination. */
   @Test
-  void entriesAgreeOnHomeOfColdAdapter() {
+  void entriesAgreeOnEngineForColdAdapter() {
     Placer other = new Placer(PlacementSettings.DEFAULT, "a");
     for (String id : List.of("e1", "e2", "e3")) {
       engine(id, "a", Set.of());
@@ -274,8 +280,8 @@
     for (String id : List.of("e3", "e1", "e2")) {
       add(other, id, "a", Set.of());
     }
-    Placement there = other.place("llm", request(COLD, 800), Set.of(), 0);
-    assertEquals(place(COLD, 800).endpoint().id(), ((Placement.At) there).endpoint().id());
+    Placement placement = other.place("llm", request(COLD, 800), Set.of(), 0);
+    assertEquals(place(COLD, 800).endpoint().id(), ((Placement.At) placement).endpoint().id());
   }
 
   @Test
@@ -291,12 +297,12 @@
     engine("e1", "a", Set.of(HOT));
     assertEquals(
         new Placement.Nowhere(Placement.Reason.ALL_TRIED),
-        placer.place("llm", request(HOT, 800), Set.of(life("e1")), 0));
+        placer.place("llm", request(HOT, 800), Set.of(incarnation("e1")), 0));
   }
 
   /**
-   * One endpoint of a plain service fails while its health check is good. Its neighbours take its
-   * requests, and after a while it is tried again.
+   * Guards against further requests to an endpoint that fails while its health check passes. Others
+   * must take its requests, and after a while it must be tried again.
    */
   @Test
   void failingEndpointIsAvoidedForSomeTime() {
@@ -309,7 +315,7 @@
   }
 
   @Test
-  void busyPlainEndpointIsRelieved() {
+  void busyPlainEndpointIsAvoided() {
     EndpointView near = plain("p1", "a");
     plain("p2", "b");
     near.succeeded(40);
@@ -330,7 +336,7 @@
   }
 
   @Test
-  void cachedPartsAreNotReckonedAgain() {
+  void cachedPromptPartsAreNotCounted() {
     EndpointView first = engine("e1", "a", Set.of(HOT));
     PlacementRequest request =
         new PlacementRequest(
@@ -349,7 +355,7 @@
   }
 
   @Test
-  void serviceWithoutEndpointsIsNowhere() {
+  void requestIsNotPlacedAtServiceWithoutEndpoints() {
     assertInstanceOf(Placement.Nowhere.class, placer.place("other", plainRequest(), Set.of(), 0));
   }
 
@@ -380,9 +386,9 @@
     return (Placement.At) placer.place("llm", request, Set.of(), 0);
   }
 
-  /** The idle endpoint that refuses everything attracted the next request. */
+  /** Guards against an endpoint that attracts every request because it refuses all and is idle. */
   @Test
-  void endpointThatBacksOffIsNotChosenBeforeItsTime() {
+  void endpointInBackOffIsNotChosenBeforeItsEnd() {
     EndpointView idle = plain("p1", "a");
     EndpointView busy = plain("p2", "b");
     for (int i = 0; i < 50; i++) {
@@ -393,9 +399,9 @@
     assertEquals("p1", plainPlace(500));
   }
 
-  /** An endpoint that had just started, and is slow at first, got as many requests as others. */
+  /** Guards against a full share of requests for an endpoint in the slow phase after its start. */
   @Test
-  void endpointThatHasJustStartedIsChosenLaterThanOthersUntilItIsWarm() {
+  void endpointThatHasJustStartedIsChosenAfterOthersUntilItIsWarm() {
     EndpointView started = plain("p1", "a");
     plain("p2", "b");
     started.listed(
@@ -407,7 +413,7 @@
   }
 
   @Test
-  void requestThatNoEndpointTakesNowIsToldTheLeastWait() {
+  void shortestBackOffIsReportedWhenAllEndpointsBackOff() {
     EndpointView first = plain("p1", "a");
     first.availability().answered(new StatedRetryAfter.Millis(500), 0);
     plain("p2", "b").availability().answered(new StatedRetryAfter.Millis(300), 0);
@@ -438,7 +444,10 @@
     all.add(BASE);
     EndpointView view =
         new EndpointView(
-            endpoint(id, "llm", zone, ENGINE_SLOTS), 100_000, PLACES, new EndpointAvailability());
+            endpoint(id, "llm", zone, ENGINE_SLOTS),
+            100_000,
+            ADAPTER_SLOTS,
+            new EndpointAvailability());
     view.reported(all, Set.of(), false);
     placer.views().put(view.id(), view);
     return view;
@@ -454,10 +463,10 @@
 
   private static Endpoint endpoint(String id, String service, String zone, int slots) {
     return new Endpoint(
-        life(id), service, URI.create("http://10.0.0.1:1"), zone, slots, false, 0, Set.of());
+        incarnation(id), service, URI.create("http://10.0.0.1:1"), zone, slots, false, 0, Set.of());
   }
 
-  private static EndpointLife life(String id) {
+  private static EndpointLife incarnation(String id) {
     return new EndpointLife(new EndpointId(id), EndpointLife.UNKNOWN_START);
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/placement/PreferenceTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/placement/PreferenceOrderTest.java
@@ -10,16 +10,16 @@
 import org.hornbeamusher.routes.AdapterKey;
 import org.hornbeamusher.routing.Rendezvous;
 
-class PreferenceTest {
+class PreferenceOrderTest {
 
-  /** Entries of different builds must agree on an adapter's home, or each loads it elsewhere. */
+  /** Entries of different builds must agree on the order, or each loads an adapter elsewhere. */
   @Property(seed = "11")
   void positionIsTheNumberOfHeavierEndpoints(
       @ForAll @Size(min = 1, max = 40) Set<Long> endpoints,
       @ForAll @IntRange(min = 1, max = 50) int adapter) {
     AdapterKey key = new AdapterKey("m", "a" + adapter);
     long[] hashes = endpoints.stream().mapToLong(Long::longValue).toArray();
-    Preference preference = new Preference(key, hashes);
+    PreferenceOrder preference = new PreferenceOrder(key, hashes);
     for (long hash : hashes) {
       assertEquals(heavier(key, hash, hashes), preference.position(hash));
     }
--- a/runtime/src/test/java/org/hornbeamusher/placement/RemovedEndpointTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/placement/RemovedEndpointTest.java
@@ -13,9 +13,9 @@
 
 class RemovedEndpointTest {
 
-  /** Guards against a request that waited at an endpoint and is sent there after it has left. */
+  /** Guards against a request that waits for an endpoint and is sent there after its removal. */
   @Test
-  void nothingIsSentToAnEndpointThatIsGoneWhateverItsAgentReports() {
+  void removedEndpointTakesNoRequestsWhateverItsAgentReports() {
     Endpoint endpoint =
         new Endpoint(
             new EndpointLife(new EndpointId("a"), 1),
