--- a/runtime/src/main/java/org/hornbeamusher/routes/AdapterKey.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/AdapterKey.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.routes;
 
 /**
- * An adapter of a base model, whatever its version.
+ * Identifies an adapter of a base model, independent of its version.
  *
  * @param model the base model
  * @param adapter the adapter's name; empty for the base model alone
@@ -9,7 +9,7 @@
 public record AdapterKey(String model, String adapter) {
 
   /**
-   * Reads the form that requests carry.
+   * Parses the form used in requests.
    *
    * @param text {@code model} or {@code model/adapter}
    * @return the key
@@ -22,9 +22,9 @@
   }
 
   /**
-   * Tells whether the base model is meant.
+   * Returns whether this is the key of the base model itself.
    *
-   * @return true when no adapter is named
+   * @return true if it contains no adapter name
    */
   public boolean isBase() {
     return adapter.isEmpty();
--- a/runtime/src/main/java/org/hornbeamusher/routes/Configuration.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/Configuration.java
@@ -9,7 +9,7 @@
 import org.hornbeamusher.accounts.AccountDirectory;
 
 /**
- * One version of the configuration, ready for look-ups.
+ * One version of the configuration, indexed for look-ups.
  *
  * <p>Example: with the prefixes {@code /a/} and {@code /a/b/} of one host, the path {@code /a/b/c}
  * belongs to the second, {@code /a/x} to the first, and {@code /b/} to none.
@@ -65,9 +65,9 @@
   /**
    * Finds the route of a request.
    *
-   * @param host the host asked for, without a port
+   * @param host the requested host, without a port
    * @param path the path, without a query
-   * @return the route with the longest prefix that begins the path
+   * @return the route of this host with the longest matching prefix
    */
   public Optional<Route> match(String host, String path) {
     for (Route route : routesByHost.getOrDefault(host, List.of())) {
@@ -82,7 +82,7 @@
    * Finds a service.
    *
    * @param name its name
-   * @return what the configuration says of it
+   * @return its configuration
    */
   public Optional<ServiceSpec> service(String name) {
     return Optional.ofNullable(services.get(name));
@@ -91,7 +91,7 @@
   /**
    * Returns the client accounts.
    *
-   * @return the accounts and who holds which key
+   * @return the accounts and their keys
    */
   public AccountDirectory accounts() {
     return accounts;
--- a/runtime/src/main/java/org/hornbeamusher/routes/ConfigurationFreshness.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/ConfigurationFreshness.java
@@ -4,14 +4,14 @@
 import org.hornbeamusher.clock.Clock;
 
 /**
- * How old the proof is that the configuration in force is the newest one.
+ * Tracks the age of the last proof that the current configuration is the newest one.
  *
- * <p>An answer of the table service proves that no newer configuration had been acknowledged when
- * its question was <em>sent</em>; it may have taken long to arrive, and a change that was made on
- * the way need not be in it. The age therefore counts from the question.
+ * <p>A response of the table service proves that no newer configuration had been acknowledged when
+ * its request was <em>sent</em>. The response may take long to arrive, and need not contain a
+ * change that was made in the meantime. The age is therefore measured from the request.
  *
- * <p>Example: a question is sent at 10 s and answered at 12 s without a change. At 13 s a key may
- * have been taken away up to three seconds ago.
+ * <p>Example: a request is sent at 10 s, and at 12 s a response without changes arrives. At 13 s a
+ * key may have been revoked up to three seconds ago.
  */
 public final class ConfigurationFreshness {
 
@@ -20,31 +20,34 @@
   private boolean superseded;
 
   /**
-   * Creates a holder without a proof.
+   * Creates a tracker without a proof.
    *
-   * @param clock counts the time for which the instance was suspended, too
+   * @param clock a clock that also advances while the instance is suspended
    */
   public ConfigurationFreshness(Clock clock) {
     this.clock = clock;
   }
 
   /**
-   * An answer was read, and what it holds is in force.
+   * Records that a response was read and its content applied.
    *
-   * @param askedMillis when its question was sent, by this object's clock
+   * @param requestedMillis when its request was sent, by this object's clock
    */
-  public void confirmed(long askedMillis) {
-    if (!superseded && askedMillis > provenMillis.orElse(Long.MIN_VALUE)) {
-      provenMillis = OptionalLong.of(askedMillis);
+  public void confirmed(long requestedMillis) {
+    if (!superseded && requestedMillis > provenMillis.orElse(Long.MIN_VALUE)) {
+      provenMillis = OptionalLong.of(requestedMillis);
     }
   }
 
-  /** A newer configuration exists and cannot be read. Nothing is proven until one can. */
+  /**
+   * Records that a newer configuration exists and is unreadable. No response counts as a proof
+   * until a configuration has been read again.
+   */
   public void superseded() {
     superseded = true;
   }
 
-  /** A configuration was read. */
+  /** Records that a configuration was read. */
   public void read() {
     superseded = false;
   }
@@ -52,7 +55,8 @@
   /**
    * Returns the age of the proof.
    *
-   * @return milliseconds; {@link Long#MAX_VALUE} without a proof
+   * @return milliseconds since the request of the last proof; {@link Long#MAX_VALUE} without a
+   *     proof
    */
   public long ageMillis() {
     return provenMillis.isPresent() ? clock.millis() - provenMillis.getAsLong() : Long.MAX_VALUE;
--- a/runtime/src/main/java/org/hornbeamusher/routes/ConfigurationInForce.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/ConfigurationInForce.java
@@ -3,8 +3,8 @@
 import java.util.Optional;
 
 /**
- * The newest configuration this process has seen. It never goes back: an answer that was read
- * before another one may arrive after it, and a route that was dropped would come alive again.
+ * Holds the newest configuration that this process has seen. It never returns to an older one:
+ * responses may arrive out of order, and a stale one would restore a deleted route.
  */
 public final class ConfigurationInForce {
 
@@ -14,10 +14,10 @@
   public ConfigurationInForce() {}
 
   /**
-   * Takes a configuration unless a newer one is in force.
+   * Replaces the current configuration by a newer one.
    *
-   * @param candidate what was read
-   * @return whether it is in force now and was not before
+   * @param candidate the configuration that was read
+   * @return whether it is newer than the one before and is now the current one
    */
   public boolean offer(Configuration candidate) {
     if (current != null && candidate.version() <= current.version()) {
@@ -28,7 +28,7 @@
   }
 
   /**
-   * Returns the configuration in force.
+   * Returns the current configuration.
    *
    * @return empty before the first one was read
    */
--- a/runtime/src/main/java/org/hornbeamusher/routes/EngineSpec.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/EngineSpec.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What the model engines of a service are like.
+ * The properties of the model engines of a service.
  *
- * @param slots requests an engine runs at once
- * @param memoryTokens tokens of running requests and cached prompts an engine has room for
- * @param adapterPlaces adapters an engine holds at once
+ * @param slots requests that an engine runs at once
+ * @param memoryTokens the memory of an engine for running requests and cached prompts, in tokens
+ * @param adapterPlaces adapters that an engine can have in memory at once
  * @param models the names of the base models
  */
 public record EngineSpec(int slots, long memoryTokens, int adapterPlaces, List<String> models) {
--- a/runtime/src/main/java/org/hornbeamusher/routes/RequestKind.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/RequestKind.java
@@ -1,11 +1,11 @@
 package org.hornbeamusher.routes;
 
-/** What may be repeated, and in which form the answer comes. */
+/** Determines whether a request may be retried, and the form of its response. */
 public enum RequestKind {
-  /** May run more than once; the answer is passed on whole. */
+  /** May run more than once; the response is forwarded once it is complete. */
   IDEMPOTENT,
-  /** Runs at most once for each request; the answer is passed on whole. */
+  /** Runs at most once for each request; the response is forwarded once it is complete. */
   NON_IDEMPOTENT,
-  /** A series of numbered events, passed on as they arrive; runs at most once unless resumable. */
+  /** A stream of numbered events, forwarded as they arrive; runs at most once unless resumable. */
   STREAMING
 }
--- a/runtime/src/main/java/org/hornbeamusher/routes/RevocationBounds.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/RevocationBounds.java
@@ -3,24 +3,26 @@
 import java.util.OptionalLong;
 
 /**
- * How soon a change of the configuration must hold.
+ * The times within which changes of the configuration must take effect.
  *
- * @param applyMillis until a change must be in force at an entry that reaches the table service
- * @param revokeMillis until a key that was taken away must be of no use at any entry, whatever it
- *     reaches; empty where entries that reach nothing may go on with what they know
+ * @param applyMillis time until a change must be applied by an entry that can reach the table
+ *     service
+ * @param revokeMillis time until a revoked key must be rejected by every entry, whether it can
+ *     reach the table service or not; empty if an entry without a connection may continue with the
+ *     configuration that it has
  */
 public record RevocationBounds(long applyMillis, OptionalLong revokeMillis) {
 
-  /** Covers the steps of two clocks and the way of a request to its check. */
+  /** Allows for steps of the two clocks and for the time from a request's arrival to its check. */
   private static final long MARGIN_MILLIS = 200;
 
-  /** The balancer asks once a second and needs two refusals to leave an entry out. */
-  private static final long LEAVE_MILLIS = 2_000;
+  /** The load balancer probes once per second and takes an entry out after two failed probes. */
+  private static final long LOAD_BALANCER_REACTION_MILLIS = 2_000;
 
   /**
-   * Returns the oldest proof with which keyed requests may be served.
+   * Returns the maximum age of the proof with which requests that need a key may be served.
    *
-   * @return milliseconds; {@link Long#MAX_VALUE} for any
+   * @return milliseconds; {@link Long#MAX_VALUE} if any age will do
    */
   public long servedMillis() {
     return revokeMillis.isPresent()
@@ -29,11 +31,14 @@
   }
 
   /**
-   * Returns the age of the proof from which an entry that fails to renew it sends callers away.
+   * Returns the age of the proof from which an entry that cannot renew it reports that it is not
+   * ready, so that the load balancer has taken it out when the maximum age is reached.
    *
    * @return milliseconds; {@link Long#MAX_VALUE} for never
    */
   public long leaveMillis() {
-    return revokeMillis.isPresent() ? Math.max(0, servedMillis() - LEAVE_MILLIS) : Long.MAX_VALUE;
+    return revokeMillis.isPresent()
+        ? Math.max(0, servedMillis() - LOAD_BALANCER_REACTION_MILLIS)
+        : Long.MAX_VALUE;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/routes/Route.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/Route.java
@@ -8,13 +8,13 @@
  * @param name the route's name
  * @param host the host it serves
  * @param prefix the beginning of its paths; begins and ends with a slash
- * @param kind what may be repeated
- * @param timeoutMillis the longest time a caller is kept waiting
- * @param targetLatencyMillis the time within which an answer is of full use
- * @param rank 0 is the most urgent
+ * @param kind determines whether its requests may be retried
+ * @param timeoutMillis maximum time that a caller waits for a response
+ * @param targetLatencyMillis the time within which a response is of full value to the caller
+ * @param rank priority; 0 is the most urgent
  * @param targets the services that share its requests; never empty
- * @param attempts at how many endpoints one request may be tried; at least 1
- * @param resumable whether another endpoint may go on with a stream that broke off
+ * @param attempts maximum number of endpoints at which a request is tried; at least 1
+ * @param resumable whether another endpoint may continue an interrupted stream
  * @param patienceMillis how long a caller waits for the first event of a stream, or the next one
  * @param anonymous whether its callers need no key of a client account
  */
@@ -38,9 +38,9 @@
   }
 
   /**
-   * Tells whether a request whose fate is unknown may be sent again.
+   * Returns whether a request with an unknown outcome may be sent again.
    *
-   * @return false when a second run would do harm
+   * @return false if a second run could do harm
    */
   public boolean repeatable() {
     return switch (kind) {
@@ -53,7 +53,7 @@
   /**
    * Chooses the service of a request.
    *
-   * @param hash the request's hash; the same one always gives the same service
+   * @param hash the request's hash; equal hashes give the same service
    * @return the name of the service
    */
   public String service(long hash) {
--- a/runtime/src/main/java/org/hornbeamusher/routes/ServiceSpec.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/ServiceSpec.java
@@ -6,9 +6,9 @@
  * One service of the configuration.
  *
  * @param name the service's name
- * @param healthPath where an endpoint says whether it is well, and which one it is
- * @param maxConnections connections an endpoint accepts from all callers together
- * @param engine what its engines are like; empty for a plain service
+ * @param healthPath path of the health check, whose response also contains the endpoint's id
+ * @param maxConnections connections that an endpoint accepts from all callers together
+ * @param engine the properties of its engines; empty for a plain service
  */
 public record ServiceSpec(
     String name, String healthPath, int maxConnections, Optional<EngineSpec> engine) {}
--- a/runtime/src/main/java/org/hornbeamusher/routes/VersionsInForce.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/VersionsInForce.java
@@ -3,23 +3,23 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The newest version named for each adapter; like the configuration, it never goes back. */
+/** The newest known version of each adapter; it never returns to an older one. */
 public final class VersionsInForce {
 
-  /** Adapters without an entry are at this version. */
+  /** The version of adapters for which no version was received. */
   public static final long FIRST = 1;
 
   private final Map<AdapterKey, Long> newest = new HashMap<>();
 
-  /** Creates a book in which every adapter is at its first version. */
+  /** Creates an instance in which every adapter is at its first version. */
   public VersionsInForce() {}
 
   /**
-   * Takes a version unless a newer one is known.
+   * Records a version unless the same or a newer one is known.
    *
    * @param adapter the adapter
-   * @param version the version that was named
-   * @return whether it is news
+   * @param version the version that was received
+   * @return whether it is newer than the one before
    */
   public boolean offer(AdapterKey adapter, long version) {
     if (version <= of(adapter)) {
@@ -33,7 +33,7 @@
    * Returns the newest version.
    *
    * @param adapter the adapter
-   * @return {@link #FIRST} unless another one was named
+   * @return {@link #FIRST} unless a newer one was received
    */
   public long of(AdapterKey adapter) {
     return newest.getOrDefault(adapter, FIRST);
--- a/runtime/src/main/java/org/hornbeamusher/routes/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/package-info.java
@@ -1,2 +1,2 @@
-/** The configuration in force: which request goes to which service, and how. */
+/** The current configuration: which service each request is sent to, and how. */
 package org.hornbeamusher.routes;
--- a/runtime/src/test/java/org/hornbeamusher/routes/ConfigurationTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/routes/ConfigurationTest.java
@@ -24,9 +24,9 @@
     assertEquals(Optional.empty(), configuration.match("h", "/ab"));
   }
 
-  /** An answer that was read first may arrive last; a dropped route must not come alive again. */
+  /** Guards against a response that arrives out of order and restores a deleted route. */
   @Test
-  void olderConfigurationDoesNotComeBack() {
+  void olderConfigurationIsNotRestored() {
     ConfigurationInForce inForce = new ConfigurationInForce();
     assertTrue(inForce.offer(configuration(7)));
     assertFalse(inForce.offer(configuration(5)));
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void versionsOfAdaptersDoNotGoBack() {
+  void adapterVersionsDoNotDecrease() {
     VersionsInForce versions = new VersionsInForce();
     AdapterKey adapter = AdapterKey.parse("m/a");
     assertEquals(VersionsInForce.FIRST, versions.of(adapter));
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void splitFollowsItsWeights() {
+  void trafficSplitFollowsWeights() {
     Route route = route("/a/", List.of(new WeightedTarget("x", 90), new WeightedTarget("y", 10)));
     long toY =
         java.util.stream.LongStream.range(0, 1_000)
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void splitWithoutWeightsTakesTheFirst() {
+  void trafficSplitWithoutWeightsUsesFirstTarget() {
     Route route = route("/a/", List.of(new WeightedTarget("x", 0), new WeightedTarget("y", 0)));
     assertEquals("x", route.service(5));
   }
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void adapterKeysReadWhatTheyWrite() {
+  void adapterKeyParsesItsTextForm() {
     assertEquals("m/a", AdapterKey.parse("m/a").toString());
     assertTrue(AdapterKey.parse("m").isBase());
   }
