--- a/runtime/src/main/java/org/hornbeamusher/watch/ChangeFeed.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/ChangeFeed.java
@@ -3,28 +3,28 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** What is asked of a table service to follow one of its tables. */
+/** The reads of a table service that are needed to follow one of its tables. */
 public interface ChangeFeed {
 
   /**
    * Reads rows of a table in the order of their keys.
    *
    * @param table the table
-   * @param after only rows with greater keys; empty from the start
-   * @param failures how many reads in a row have failed; a repeat gets more time
-   * @return as many rows as one answer holds, as of one moment; fails with a typed failure while
-   *     the service is away
+   * @param after only rows with greater keys; empty to read from the start
+   * @param failures number of failed reads in a row; retries get longer timeouts
+   * @return as many rows as fit in one response, from one consistent snapshot; completes with a
+   *     {@link org.hornbeamusher.failure.HornbeamusherException} while the service is unavailable
    */
   CompletableFuture<Page> page(String table, String after, int failures);
 
   /**
-   * Reads what has changed, as soon as something has.
+   * Reads the changes since a revision, with a long poll.
    *
    * @param table the table
-   * @param revision where the last answer left off
+   * @param revision the revision of the last response
    * @param waitMillis how long the service may wait for a change
-   * @param failures how many reads in a row have failed; a repeat gets more time
-   * @return the changes, perhaps none; empty when the history no longer reaches back that far
+   * @param failures number of failed reads in a row; retries get longer timeouts
+   * @return the changes, possibly none; empty if the history no longer contains the revision
    */
   CompletableFuture<Optional<Changes>> since(
       String table, long revision, long waitMillis, int failures);
--- a/runtime/src/main/java/org/hornbeamusher/watch/ChangedRow.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/ChangedRow.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.watch;
 
 /**
- * A row as it is now.
+ * The current state of a row.
  *
  * @param key the row's key within its table
  * @param content its value, or why there is none
--- a/runtime/src/main/java/org/hornbeamusher/watch/Changes.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/Changes.java
@@ -4,12 +4,12 @@
 import org.hornbeamusher.transfer.Transfer;
 
 /**
- * What a table service says of a table.
+ * The content or the changes of a table, as returned by a table service.
  *
- * @param rows the rows, or those that changed
+ * @param rows all rows, or those that changed
  * @param revision the service's newest revision; later changes have a higher one
- * @param complete whether these are all rows of the table, not just changes
- * @param transfer what the answer took to arrive
+ * @param complete whether these are all rows of the table, not only the changed ones
+ * @param transfer duration and size of the response
  */
 public record Changes(List<ChangedRow> rows, long revision, boolean complete, Transfer transfer) {
 
@@ -19,9 +19,9 @@
   }
 
   /**
-   * Creates an answer of which it does not matter what it took.
+   * Creates an instance without duration and size of the response.
    *
-   * @param rows the rows, or those that changed
+   * @param rows all rows, or those that changed
    * @param revision the service's newest revision
    * @param complete whether these are all rows of the table
    */
--- a/runtime/src/main/java/org/hornbeamusher/watch/Page.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/Page.java
@@ -4,12 +4,12 @@
 import org.hornbeamusher.transfer.Transfer;
 
 /**
- * Rows of a table in the order of their keys.
+ * Some rows of a table in the order of their keys.
  *
  * @param rows the rows
  * @param revision the service's newest revision when they were read
  * @param more whether rows with greater keys follow
- * @param transfer what the answer took to arrive
+ * @param transfer duration and size of the response
  */
 public record Page(List<ChangedRow> rows, long revision, boolean more, Transfer transfer) {
 
--- a/runtime/src/main/java/org/hornbeamusher/watch/PagedRead.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/PagedRead.java
@@ -5,13 +5,13 @@
 import org.hornbeamusher.transfer.Transfer;
 
 /**
- * A table that is being read page by page.
+ * Collects the pages of a table that is being read.
  *
- * <p>Pages that have arrived stay when a later one fails: read from the start each time, a table of
- * many pages would never be whole while one call in ten fails.
+ * <p>Pages that have arrived are kept when a later one fails. If each read began at the start, a
+ * table of many pages would never be complete while one call in ten fails.
  *
- * <p>The whole bears the revision of its first page. A row of that page may change before the last
- * one is read, and the feed must then begin before that change.
+ * <p>The result has the revision of its first page. A row of that page may change before the last
+ * page is read, and the change feed must then start before that change.
  */
 final class PagedRead {
 
@@ -21,13 +21,13 @@
   private int pages;
   private boolean more = true;
 
-  private long askedMillis;
+  private long requestedMillis;
 
-  /** Takes the next page, for which was asked at some moment. */
-  void add(Page page, long pageAskedMillis) {
+  /** Adds the next page, which was requested at the given time. */
+  void add(Page page, long pageRequestedMillis) {
     if (pages == 0) {
       revision = page.revision();
-      askedMillis = pageAskedMillis;
+      requestedMillis = pageRequestedMillis;
     }
     pages++;
     rows.addAll(page.rows());
@@ -35,17 +35,17 @@
     more = page.more() && !page.rows().isEmpty();
   }
 
-  /** Returns when the first page was asked for: all of it may be as old as that. */
-  long askedMillis() {
-    return askedMillis;
+  /** Returns when the first page was requested: all rows may be as old as that. */
+  long requestedMillis() {
+    return requestedMillis;
   }
 
-  /** Returns the key after which the next page begins; empty at the start. */
+  /** Returns the key after which the next page starts; empty for the first page. */
   String after() {
     return rows.isEmpty() ? "" : rows.get(rows.size() - 1).key();
   }
 
-  boolean whole() {
+  boolean isComplete() {
     return !more;
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/watch/RowContent.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/RowContent.java
@@ -1,10 +1,10 @@
 package org.hornbeamusher.watch;
 
-/** What a row of a table service holds. */
+/** The content of a row of a table service. */
 public sealed interface RowContent {
 
   /**
-   * The row has a value, whatever that is.
+   * The row has a value, which may be empty.
    *
    * @param value its bytes
    * @param revision the service's revision at which they were written
@@ -12,12 +12,12 @@
   record Present(byte[] value, long revision) implements RowContent {}
 
   /**
-   * The row exists, but its value cannot be had from the answer.
+   * The row exists, but its value cannot be read from the response.
    *
    * @param reason what is wrong with it
    */
   record Unreadable(String reason) implements RowContent {}
 
-  /** The row is no more. */
+  /** The row was deleted. */
   record Deleted() implements RowContent {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/watch/TableWatch.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/TableWatch.java
@@ -10,24 +10,25 @@
 import org.hornbeamusher.transfer.Transfer;
 
 /**
- * Follows one table.
+ * Follows one table by long polling.
  *
- * <p>It reads the whole table once and then asks for what has changed since. The service holds such
- * a question until there is something to say, which brings a change here within milliseconds for
- * few calls. The time that it may hold one is short: a connection may go silent for good, and only
- * the end of that time shows it. When the history does not reach back, the table is read again.
+ * <p>It reads the complete table once and then requests the changes since then. The service holds
+ * such a request until there is a change, so that a change arrives within milliseconds and few
+ * calls are needed. The hold time is short, because a connection may go silent without being
+ * closed, and only the end of the hold time reveals that. If the history no longer contains the
+ * last revision, the table is read again.
  *
- * <p>A table that changes all the time is better read whole at a fixed pace; that is what a waiting
- * time of 0 means.
+ * <p>A table that changes constantly is better read completely at fixed intervals; a wait time of 0
+ * selects that.
  *
- * <p>While the service is away nothing changes here: what was known stays in use. A read that fails
- * is repeated with more time, from the page that failed; one that nobody answered at once, one that
- * was refused after a pause. One that was cut in the middle is repeated later each time, so that
- * repeats of large answers do not fill the link that they need.
+ * <p>While the service is unavailable the last known state stays in use. A failed read is retried
+ * with longer timeouts, from the page that failed: at once after a timeout, after a pause if it was
+ * refused. The pause doubles after each response that was cut off, so that retries of large
+ * responses do not saturate the link that they need.
  */
 public final class TableWatch {
 
-  private static final long NOTHING = -1;
+  private static final long NO_REVISION = -1;
 
   private final ChangeFeed feed;
   private final String table;
@@ -35,28 +36,28 @@
   private final EventLoop loop;
   private final Clock clock;
   private final Listener listener;
-  private long revision = NOTHING;
+  private long revision = NO_REVISION;
   private long failingSinceMillis;
 
-  /** Doublings of the pause after answers that were cut. */
-  private static final int MOST_DOUBLINGS = 3;
+  /** Limit on doubling the pause after responses that were cut off. */
+  private static final int MAX_DOUBLINGS = 3;
 
-  /** The pages of a table that is being read whole; null between such reads. */
-  private PagedRead reading;
+  /** The pages of a complete read in progress; null if there is none. */
+  private PagedRead pagedRead;
 
-  /** Questions in a row that failed. */
+  /** Failed requests in a row. */
   private int failures;
 
-  /** Those among them whose answers were cut in the middle. */
-  private int cuts;
+  /** Those failed requests whose responses were cut off. */
+  private int interruptedResponses;
 
-  /** When the question was sent that was answered last; the start before the first answer. */
-  private long knownMillis;
+  /** When the last successful request was sent; before the first one, when the watch started. */
+  private long confirmedMillis;
 
-  /** When the service last showed that it is there. */
-  private long contactMillis;
+  /** When data was last received from the service. */
+  private long lastReceivedMillis;
 
-  /** The pause between an answer and the next question; null while there is none. */
+  /** The pause between a response and the next request; null if there is none. */
   private EventLoop.Timer pause;
 
   private boolean stale;
@@ -67,10 +68,10 @@
    *
    * @param feed the table service
    * @param table the table
-   * @param settings how closely
-   * @param loop where the listener is called
-   * @param clock monotonic
-   * @param listener receives every answer, also one without changes
+   * @param settings the timing of the requests
+   * @param loop the event loop on which the listener is called
+   * @param clock a monotonic clock
+   * @param listener receives every response, also one without changes
    */
   public TableWatch(
       ChangeFeed feed,
@@ -87,93 +88,98 @@
     this.listener = listener;
   }
 
-  /** Receives what a table holds. */
+  /** Receives the content of a table and its changes. */
   @FunctionalInterface
   public interface Listener {
 
     /**
-     * The service has answered.
+     * Called when the service has responded.
      *
-     * @param changes the rows, or those that changed, perhaps none
-     * @param askedMillis when the question was sent, by the watch's clock; what had been
-     *     acknowledged by then is known
+     * @param changes all rows, or those that changed, possibly none
+     * @param requestedMillis when the request was sent, by the watch's clock; all changes
+     *     acknowledged before that time have been received
      */
-    void received(Changes changes, long askedMillis);
+    void received(Changes changes, long requestedMillis);
 
     /**
-     * The service has not answered; it is asked again.
+     * Called when a request has failed; it is retried.
      *
-     * @param askedMillis when the question was sent, by the watch's clock
+     * @param requestedMillis when the request was sent, by the watch's clock
      */
-    default void unanswered(long askedMillis) {}
+    default void unanswered(long requestedMillis) {}
   }
 
-  /** Starts to follow. */
+  /** Starts to follow the table. */
   public void start() {
-    knownMillis = clock.millis();
-    contactMillis = knownMillis;
-    loop.execute(this::ask);
+    confirmedMillis = clock.millis();
+    lastReceivedMillis = confirmedMillis;
+    loop.execute(this::sendRequest);
   }
 
-  /** Asks now if nothing is being asked; called on the loop. */
+  /** Ends a pause between two requests; must be called on the loop. */
   public void refresh() {
     if (pause != null) {
       pause.cancel();
-      ask();
+      sendRequest();
     }
   }
 
-  /** Ends it; an answer under way is dropped. */
+  /** Stops the watch; a pending response is discarded. */
   public void stop() {
     stopped = true;
   }
 
   /**
-   * Returns how old what is known may be.
+   * Returns the maximum age of the known state.
    *
-   * @return milliseconds since the question was sent that was answered last
+   * @return milliseconds since the last successful request was sent
    */
   public long ageMillis() {
-    return clock.millis() - knownMillis;
+    return clock.millis() - confirmedMillis;
   }
 
-  private void ask() {
+  private void sendRequest() {
     pause = null;
     if (stopped) {
       return;
     }
-    if (reading == null && (revision == NOTHING || settings.waitMillis() == 0)) {
-      reading = new PagedRead();
+    if (pagedRead == null && (revision == NO_REVISION || settings.waitMillis() == 0)) {
+      pagedRead = new PagedRead();
     }
-    Question question = new Question(reading == null ? "changes" : "page", clock.millis());
+    PendingRequest request =
+        new PendingRequest(pagedRead == null ? "changes" : "page", clock.millis());
     EventLoop.Timer ageCheck =
-        loop.after(Math.max(0, settings.staleMillis() - ageMillis()), () -> checkAge(question));
-    if (reading == null) {
+        loop.after(Math.max(0, settings.staleMillis() - ageMillis()), () -> checkAge(request));
+    if (pagedRead == null) {
       feed.since(table, revision, holdMillis(), failures)
           .whenComplete(
               (changes, thrown) ->
-                  answered(
-                      question, ageCheck, thrown, () -> changed(changes, question.sentMillis())));
+                  requestCompleted(
+                      request,
+                      ageCheck,
+                      thrown,
+                      () -> changesReceived(changes, request.sentMillis())));
     } else {
-      feed.page(table, reading.after(), failures)
+      feed.page(table, pagedRead.after(), failures)
           .whenComplete(
               (page, thrown) ->
-                  answered(question, ageCheck, thrown, () -> read(page, question.sentMillis())));
+                  requestCompleted(
+                      request, ageCheck, thrown, () -> pageReceived(page, request.sentMillis())));
     }
   }
 
   /**
-   * Returns for how long the next question may be held. What is known must not be older when it is
-   * answered than after two holds: an answer that took long to arrive is old already, and after a
-   * failure the next one is wanted at once.
+   * Returns the hold time of the next request. The known state must not become older than two hold
+   * times before the next response: after a response that took long to arrive, part of that time
+   * has already passed. After a failure the hold time is 0.
    */
   private long holdMillis() {
-    long late = Math.max(0, ageMillis() - settings.waitMillis());
-    return failures > 0 ? 0 : Math.max(0, settings.waitMillis() - late);
+    long excess = Math.max(0, ageMillis() - settings.waitMillis());
+    return failures > 0 ? 0 : Math.max(0, settings.waitMillis() - excess);
   }
 
-  private void answered(
-      Question question, EventLoop.Timer ageCheck, Throwable thrown, Runnable taken) {
+  private void requestCompleted(
+      PendingRequest request, EventLoop.Timer ageCheck, Throwable thrown, Runnable handler) {
     loop.execute(
         () -> {
           ageCheck.cancel();
@@ -181,67 +187,70 @@
             return;
           }
           if (thrown == null) {
-            contactMillis = clock.millis();
-            back();
-            taken.run();
+            lastReceivedMillis = clock.millis();
+            logRecovery();
+            handler.run();
           } else {
-            failed(HornbeamusherException.from(thrown), question);
-            dropOldPages();
-            listener.unanswered(question.sentMillis());
-            loop.after(retryMillis(question), this::ask);
+            recordFailure(HornbeamusherException.from(thrown), request);
+            discardStalePages();
+            listener.unanswered(request.sentMillis());
+            loop.after(retryMillis(request), this::sendRequest);
           }
         });
   }
 
-  private void read(Page page, long askedMillis) {
-    reading.add(page, askedMillis);
-    if (!reading.whole()) {
-      ask();
+  private void pageReceived(Page page, long requestedMillis) {
+    pagedRead.add(page, requestedMillis);
+    if (!pagedRead.isComplete()) {
+      sendRequest();
       return;
     }
-    PagedRead done = reading;
-    reading = null;
-    know(done.changes(), done.askedMillis());
+    PagedRead completedRead = pagedRead;
+    pagedRead = null;
+    applyChanges(completedRead.changes(), completedRead.requestedMillis());
   }
 
-  private void changed(Optional<Changes> changes, long askedMillis) {
+  private void changesReceived(Optional<Changes> changes, long requestedMillis) {
     if (changes.isEmpty()) {
-      revision = NOTHING;
-      ask();
+      revision = NO_REVISION;
+      sendRequest();
       return;
     }
-    know(changes.get(), askedMillis);
+    applyChanges(changes.get(), requestedMillis);
   }
 
-  private void know(Changes changes, long askedMillis) {
+  private void applyChanges(Changes changes, long requestedMillis) {
     revision = Math.max(revision, changes.revision());
-    knownMillis = askedMillis;
+    confirmedMillis = requestedMillis;
     if (stale && ageMillis() < settings.staleMillis()) {
       stale = false;
       EventLog.log(EventType.TABLE_CURRENT, "table", table, "age_ms", ageMillis());
     }
     try {
-      listener.received(changes, askedMillis);
+      listener.received(changes, requestedMillis);
     } finally {
-      pause = loop.after(settings.pauseMillis(), this::ask);
+      pause = loop.after(settings.pauseMillis(), this::sendRequest);
     }
   }
 
-  /** Pages from before an outage and pages from after it are not one table. */
-  private void dropOldPages() {
-    if (clock.millis() - contactMillis >= settings.staleMillis() / 2) {
-      reading = null;
+  /** Discards pages read before an outage, which must not be combined with later ones. */
+  private void discardStalePages() {
+    if (clock.millis() - lastReceivedMillis >= settings.staleMillis() / 2) {
+      pagedRead = null;
     }
   }
 
-  /** A question that nobody answered has taken its time; one that was refused has not. */
-  private long retryMillis(Question question) {
-    long pause = settings.retryMillis() << Math.clamp(cuts - 1, 0, MOST_DOUBLINGS);
-    long taken = cuts > 0 ? 0 : clock.millis() - question.sentMillis();
-    return Math.max(0, pause - taken);
+  /**
+   * Returns the pause before a retry. The time that the failed request took counts towards the
+   * pause, except after responses that were cut off.
+   */
+  private long retryMillis(PendingRequest request) {
+    long pause = settings.retryMillis() << Math.clamp(interruptedResponses - 1, 0, MAX_DOUBLINGS);
+    long elapsed = interruptedResponses > 0 ? 0 : clock.millis() - request.sentMillis();
+    return Math.max(0, pause - elapsed);
   }
 
-  private void failed(HornbeamusherException failure, Question question) {
+  private void recordFailure(HornbeamusherException failure, PendingRequest request) {
     if (failures == 0) {
       failingSinceMillis = clock.millis();
       EventLog.log(
@@ -256,23 +265,23 @@
     failures++;
     long received = IncompleteTransferException.received(failure).orElse(Transfer.NONE).bytes();
     if (received > 0) {
-      cuts++;
-      contactMillis = clock.millis();
+      interruptedResponses++;
+      lastReceivedMillis = clock.millis();
     }
-    // The lines of a long outage are far apart.
+    // Logs only at powers of two, so that a long outage does not flood the log.
     if (Integer.bitCount(failures) == 1) {
       EventLog.log(
           EventType.TABLE_READ_FAILED,
           "table",
           table,
           "call",
-          question.call(),
+          request.call(),
           "failures",
           failures,
           "reason",
           failure.type().label(),
           "after_ms",
-          clock.millis() - question.sentMillis(),
+          clock.millis() - request.sentMillis(),
           "received_bytes",
           received,
           "age_ms",
@@ -282,16 +291,17 @@
     }
   }
 
-  private void back() {
+  private void logRecovery() {
     if (failures > 0) {
-      long away = clock.millis() - failingSinceMillis;
-      EventLog.log(EventType.PLATFORM_BACK, "table", table, "away_ms", away, "failures", failures);
+      long outageMillis = clock.millis() - failingSinceMillis;
+      EventLog.log(
+          EventType.PLATFORM_BACK, "table", table, "away_ms", outageMillis, "failures", failures);
       failures = 0;
-      cuts = 0;
+      interruptedResponses = 0;
     }
   }
 
-  private void checkAge(Question question) {
+  private void checkAge(PendingRequest request) {
     if (!stopped && !stale && ageMillis() >= settings.staleMillis()) {
       stale = true;
       EventLog.log(
@@ -303,19 +313,19 @@
           "bound_ms",
           settings.staleMillis(),
           "call",
-          question.call(),
+          request.call(),
           "waiting_ms",
-          clock.millis() - question.sentMillis(),
+          clock.millis() - request.sentMillis(),
           "failures",
           failures);
     }
   }
 
   /**
-   * A question under way.
+   * A pending request.
    *
-   * @param call what was asked for: a page of the whole table or its changes
-   * @param sentMillis when
+   * @param call the kind of request as logged: a page of the complete table or its changes
+   * @param sentMillis when it was sent
    */
-  private record Question(String call, long sentMillis) {}
+  private record PendingRequest(String call, long sentMillis) {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/watch/WatchSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/WatchSettings.java
@@ -1,13 +1,13 @@
 package org.hornbeamusher.watch;
 
 /**
- * How closely a table is followed.
+ * The timing of the requests that follow a table.
  *
- * @param waitMillis how long the service holds a question for which it has nothing new; 0 asks for
- *     all rows each time instead
- * @param pauseMillis between an answer and the next question
- * @param retryMillis after a question that failed
- * @param staleMillis how old what is known may become before that is logged
+ * @param waitMillis how long the service holds a request while there are no changes; 0 to read all
+ *     rows each time instead
+ * @param pauseMillis pause between a response and the next request
+ * @param retryMillis pause after a failed request
+ * @param staleMillis age from which the known state is logged as stale
  */
 public record WatchSettings(
     long waitMillis, long pauseMillis, long retryMillis, long staleMillis) {}
--- a/runtime/src/main/java/org/hornbeamusher/watch/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/package-info.java
@@ -1,2 +1,2 @@
-/** Keeps a process up to date with rows of the platform's table service. */
+/** Follows changes of tables in the platform's table service. */
 package org.hornbeamusher.watch;
--- a/runtime/src/test/java/org/hornbeamusher/watch/TableWatchTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/watch/TableWatchTest.java
@@ -19,12 +19,13 @@
 
 class TableWatchTest {
 
-  private final List<String> asked = new ArrayList<>();
-  private final Queue<Supplier<CompletableFuture<Optional<Answer>>>> answers = new ArrayDeque<>();
+  private final List<String> requests = new ArrayList<>();
+  private final Queue<Supplier<CompletableFuture<Optional<Response>>>> responses =
+      new ArrayDeque<>();
   private final Queue<Runnable> tasks = new ArrayDeque<>();
-  private final List<Long> heard = new ArrayList<>();
+  private final List<Long> revisions = new ArrayList<>();
   private final List<String> rows = new ArrayList<>();
-  private final List<Long> asks = new ArrayList<>();
+  private final List<Long> requestTimes = new ArrayList<>();
   private final List<Long> pauses = new ArrayList<>();
   private final List<Long> holds = new ArrayList<>();
   private final List<Long> retries = new ArrayList<>();
@@ -33,105 +34,107 @@
 
   @Test
   void tableIsReadOnceAndThenFollowed() {
-    answer(5, true);
-    answer(7, false);
+    respond(5, true);
+    respond(7, false);
     watch(1_000);
-    assertEquals(List.of("all", "since 5", "since 7"), asked);
-    assertEquals(List.of(5L, 7L), heard);
+    assertEquals(List.of("all", "since 5", "since 7"), requests);
+    assertEquals(List.of(5L, 7L), revisions);
   }
 
-  /** The history does not reach back to what is known; what was missed is in the whole table. */
+  /** If the history no longer contains the last revision, the missed changes are in the table. */
   @Test
-  void lostHistoryMeansReadingTheTableAgain() {
-    answer(5, true);
-    answers.add(() -> CompletableFuture.completedFuture(Optional.empty()));
-    answer(9, true);
+  void tableIsReadAgainWhenHistoryIsTooShort() {
+    respond(5, true);
+    responses.add(() -> CompletableFuture.completedFuture(Optional.empty()));
+    respond(9, true);
     watch(1_000);
-    assertEquals(List.of("all", "since 5", "all", "since 9"), asked);
+    assertEquals(List.of("all", "since 5", "all", "since 9"), requests);
   }
 
-  /** The service is away; the watch asks again and goes on from where it was. */
+  /** After an outage of the service the watch must continue at the last revision. */
   @Test
-  void failureIsAskedAgainFromTheSameRevision() {
-    answer(5, true);
+  void failedRequestIsRetriedFromTheSameRevision() {
+    respond(5, true);
     fail(0);
-    answer(6, false);
+    respond(6, false);
     watch(1_000);
-    assertEquals(List.of("all", "since 5", "since 5", "since 6"), asked);
-    assertEquals(List.of(5L, 6L), heard);
+    assertEquals(List.of("all", "since 5", "since 5", "since 6"), requests);
+    assertEquals(List.of(5L, 6L), revisions);
   }
 
   @Test
-  void withoutWaitingTheWholeTableIsReadEachTime() {
-    answer(5, true);
-    answer(6, true);
+  void completeTableIsReadEachTimeIfWaitTimeIsZero() {
+    respond(5, true);
+    respond(6, true);
     watch(0);
-    assertEquals(List.of("all", "all", "all"), asked);
+    assertEquals(List.of("all", "all", "all"), requests);
   }
 
   /** Guards against a table of many pages that is read from the start after each failure. */
   @Test
-  void pageThatFailsIsReadAgainWithoutThoseBeforeIt() {
+  void failedPageIsReadAgainWithoutThoseBeforeIt() {
     page("a", 5, true);
     fail(0);
     page("b", 6, false);
     watch(1_000);
-    assertEquals(List.of("all", "all after a", "all after a", "since 5"), asked);
+    assertEquals(List.of("all", "all after a", "all after a", "since 5"), requests);
     assertEquals(List.of("a", "b"), rows);
-    assertEquals(List.of(5L), heard);
+    assertEquals(List.of(5L), revisions);
   }
 
-  /** Guards against a table that is put together from before and after an outage. */
+  /** Guards against combining pages from before and after an outage. */
   @Test
   void pagesFromBeforeAnOutageAreReadAgain() {
     page("a", 5, true);
     fail(600);
     page("a", 7, false);
     watch(1_000);
-    assertEquals(List.of("all", "all after a", "all", "since 7"), asked);
-    assertEquals(List.of(600L), asks);
+    assertEquals(List.of("all", "all after a", "all", "since 7"), requests);
+    assertEquals(List.of(600L), requestTimes);
   }
 
-  /** Guards against repeats of a cut transfer that fill the link that they need. */
+  /** Guards against retries of an interrupted transfer that saturate the link that they need. */
   @Test
-  void answersThatAreCutAreAskedForLaterEachTime() {
-    answer(5, true);
+  void pauseGrowsWithEachResponseThatIsCutOff() {
+    respond(5, true);
     for (int i = 0; i < 6; i++) {
-      cut();
+      cutOff();
     }
-    answer(6, false);
+    respond(6, false);
     watch(1_000);
     assertEquals(List.of(20L, 40L, 80L, 160L, 160L, 160L), pauses);
   }
 
-  /** Guards against a store that returns and is found late because it did not answer before. */
+  /** Guards against detecting the end of an outage late because the pause between retries grows. */
   @Test
-  void questionsThatNobodyAnswersAreRepeatedAtOnePace() {
-    answer(5, true);
+  void failedRequestsWithoutResponseAreRetriedAtConstantInterval() {
+    respond(5, true);
     for (int i = 0; i < 4; i++) {
       fail(0);
     }
-    answer(6, false);
+    respond(6, false);
     watch(1_000);
     assertEquals(List.of(20L, 20L, 20L, 20L), pauses);
   }
 
-  /** Guards against a pause on top of the time in which a question was not answered. */
+  /** Guards against a full pause after a request that already took a long time to fail. */
   @Test
-  void questionThatTookItsTimeIsRepeatedAtOnce() {
-    answer(5, true);
+  void timeOfFailedRequestCountsTowardsThePause() {
+    respond(5, true);
     fail(15);
     fail(0);
     fail(600);
-    answer(6, false);
+    respond(6, false);
     watch(1_000);
     assertEquals(List.of(5L, 20L, 0L), retries);
   }
 
-  /** Guards against proof that expires because a long transfer is followed by a whole hold. */
+  /**
+   * Guards against a proof of freshness that expires because a full hold follows a slow response.
+   */
   @Test
-  void answerThatTookLongIsFollowedByShorterHold() {
-    answer(5, true);
+  void slowResponseIsFollowedByShorterHold() {
+    respond(5, true);
     slow(1_000, 6);
     slow(1_300, 7);
     slow(5_000, 8);
@@ -140,7 +143,7 @@
   }
 
   private void slow(long millis, long revision) {
-    answers.add(
+    responses.add(
         () -> {
           clock.advance(millis);
           return CompletableFuture.completedFuture(page(List.of(), revision, false));
@@ -149,15 +152,15 @@
 
   private void page(String key, long revision, boolean more) {
     ChangedRow row = new ChangedRow(key, new RowContent.Present(new byte[0], revision));
-    answers.add(() -> CompletableFuture.completedFuture(page(List.of(row), revision, more)));
+    responses.add(() -> CompletableFuture.completedFuture(page(List.of(row), revision, more)));
   }
 
-  private static Optional<Answer> page(List<ChangedRow> rows, long revision, boolean more) {
-    return Optional.of(new Answer(rows, revision, more));
+  private static Optional<Response> page(List<ChangedRow> rows, long revision, boolean more) {
+    return Optional.of(new Response(rows, revision, more));
   }
 
   private void fail(long afterMillis) {
-    answers.add(
+    responses.add(
         () -> {
           clock.advance(afterMillis);
           return CompletableFuture.failedFuture(
@@ -165,8 +168,8 @@
         });
   }
 
-  private void cut() {
-    answers.add(
+  private void cutOff() {
+    responses.add(
         () ->
             CompletableFuture.failedFuture(
                 HornbeamusherException.notRun(FailureType.PLATFORM_UNAVAILABLE, "test")
@@ -175,12 +178,12 @@
                             "timed out", new Transfer(450, 300_000), null))));
   }
 
-  private void answer(long revision, boolean complete) {
-    answers.add(() -> CompletableFuture.completedFuture(page(List.of(), revision, false)));
+  private void respond(long revision, boolean complete) {
+    responses.add(() -> CompletableFuture.completedFuture(page(List.of(), revision, false)));
   }
 
-  /** What the service answers: a page of rows, or changes. */
-  private record Answer(List<ChangedRow> rows, long revision, boolean more) {}
+  /** A scripted response: a page of rows, or changes. */
+  private record Response(List<ChangedRow> rows, long revision, boolean more) {}
 
   private void watch(long waitMillis) {
     TableWatch watch =
@@ -190,9 +193,9 @@
             new WatchSettings(waitMillis, 10, 20, 1_000),
             loop,
             clock,
-            (changes, askedMillis) -> {
-              heard.add(changes.revision());
-              asks.add(askedMillis);
+            (changes, requestedMillis) -> {
+              revisions.add(changes.revision());
+              requestTimes.add(requestedMillis);
               changes.rows().forEach(row -> rows.add(row.key()));
             });
     watch.start();
@@ -205,7 +208,7 @@
 
     @Override
     public CompletableFuture<Page> page(String table, String after, int failures) {
-      asked.add(after.isEmpty() ? "all" : "all after " + after);
+      requests.add(after.isEmpty() ? "all" : "all after " + after);
       return next()
           .thenApply(Optional::orElseThrow)
           .thenApply(one -> new Page(one.rows(), one.revision(), one.more(), Transfer.NONE));
@@ -214,15 +217,15 @@
     @Override
     public CompletableFuture<Optional<Changes>> since(
         String table, long revision, long waitMillis, int failures) {
-      asked.add("since " + revision);
+      requests.add("since " + revision);
       holds.add(waitMillis);
       return next()
           .thenApply(found -> found.map(one -> new Changes(one.rows(), one.revision(), false)));
     }
 
-    /** Beyond the script nothing is answered any more. */
-    private CompletableFuture<Optional<Answer>> next() {
-      return answers.isEmpty() ? new CompletableFuture<>() : answers.poll().get();
+    /** Returns the next scripted response; after the last one, requests stay pending. */
+    private CompletableFuture<Optional<Response>> next() {
+      return responses.isEmpty() ? new CompletableFuture<>() : responses.poll().get();
     }
   }
 
