--- a/runtime/src/main/java/org/hornbeamusher/transfer/IncompleteTransferException.java
+++ b/runtime/src/main/java/org/hornbeamusher/transfer/IncompleteTransferException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.Optional;
 
-/** An answer did not arrive whole. */
+/** Thrown when a response was not received completely. */
 public final class IncompleteTransferException extends IOException {
 
   private static final long serialVersionUID = 1L;
@@ -11,11 +11,11 @@
   private final transient Transfer received;
 
   /**
-   * Creates a failure.
+   * Creates an exception.
    *
    * @param reason why no more was received
-   * @param received what had arrived
-   * @param cause what led to it; null for a timeout
+   * @param received duration and size of the received part
+   * @param cause the underlying exception; null for a timeout
    */
   public IncompleteTransferException(String reason, Transfer received, Throwable cause) {
     super(
@@ -25,10 +25,10 @@
   }
 
   /**
-   * Finds what had arrived of the answer behind a failure.
+   * Finds the received part of the incomplete response that caused an exception.
    *
-   * @param thrown any failure
-   * @return empty when no answer had been awaited
+   * @param thrown any exception
+   * @return empty if it was not caused by an incomplete response
    */
   public static Optional<Transfer> received(Throwable thrown) {
     Throwable current = thrown;
--- a/runtime/src/main/java/org/hornbeamusher/transfer/Transfer.java
+++ b/runtime/src/main/java/org/hornbeamusher/transfer/Transfer.java
@@ -1,21 +1,21 @@
 package org.hornbeamusher.transfer;
 
 /**
- * What an answer has taken, or what had arrived of it when it failed.
+ * Duration and size of a response, or of its received part if it is incomplete.
  *
- * @param millis from the moment at which the question was sent
- * @param bytes of the answer's body
+ * @param millis time since the request was sent
+ * @param bytes received bytes of the response body
  */
 public record Transfer(long millis, long bytes) {
 
-  /** Nothing was received. */
+  /** No time and no bytes. */
   public static final Transfer NONE = new Transfer(0, 0);
 
   /**
-   * Adds a transfer that began when this one had ended.
+   * Adds a transfer that started after the end of this one.
    *
-   * @param next the later one
-   * @return both
+   * @param next the later transfer
+   * @return total duration and size
    */
   public Transfer and(Transfer next) {
     return new Transfer(millis + next.millis, bytes + next.bytes);
--- a/runtime/src/main/java/org/hornbeamusher/transfer/TransferLimits.java
+++ b/runtime/src/main/java/org/hornbeamusher/transfer/TransferLimits.java
@@ -1,36 +1,37 @@
 package org.hornbeamusher.transfer;
 
 /**
- * How long an answer may keep its reader waiting.
+ * The timeouts of a response.
  *
- * @param beginMillis until it begins, after the last part of the question was taken
- * @param stallMillis without progress, once it has begun
+ * @param startTimeoutMillis time until it starts, after the last part of the request was sent
+ * @param stallTimeoutMillis time without progress, once it has started
  */
-public record TransferLimits(long beginMillis, long stallMillis) {
+public record TransferLimits(long startTimeoutMillis, long stallTimeoutMillis) {
 
-  private static final long MOST_BEGIN_FACTOR = 2;
-  private static final int MOST_STALL_DOUBLINGS = 3;
+  private static final long MAX_START_FACTOR = 2;
+  private static final int MAX_STALL_DOUBLINGS = 3;
 
   /**
-   * Returns the limits of a repeat. What was cut by a limit is not cut by the same one again; how
-   * long a connection may be silent grows little, because another one may work.
+   * Returns the timeouts of a retry, so that a timeout that was too short is not applied again. The
+   * time until the start of the response grows by a factor of two at most, because a silent
+   * connection should be given up soon: another one may work.
    *
-   * @param failures how many attempts in a row have failed
-   * @return these limits for the first attempt, longer ones for later attempts
+   * @param failures number of failed attempts in a row
+   * @return these timeouts for the first attempt, longer ones for later attempts
    */
   public TransferLimits afterFailures(int failures) {
     return new TransferLimits(
-        beginMillis * Math.min(1 + failures, MOST_BEGIN_FACTOR),
-        stallMillis << Math.min(failures, MOST_STALL_DOUBLINGS));
+        startTimeoutMillis * Math.min(1 + failures, MAX_START_FACTOR),
+        stallTimeoutMillis << Math.min(failures, MAX_STALL_DOUBLINGS));
   }
 
   /**
-   * Returns the limits of a question that may be held until there is something to say.
+   * Returns the timeouts of a long poll.
    *
-   * @param holdMillis for how long
-   * @return these limits with a later beginning
+   * @param holdMillis how long the server may hold the request
+   * @return these timeouts with a later start of the response
    */
   public TransferLimits afterHold(long holdMillis) {
-    return new TransferLimits(beginMillis + holdMillis, stallMillis);
+    return new TransferLimits(startTimeoutMillis + holdMillis, stallTimeoutMillis);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/transfer/TransferProgress.java
+++ b/runtime/src/main/java/org/hornbeamusher/transfer/TransferProgress.java
@@ -1,104 +1,105 @@
 package org.hornbeamusher.transfer;
 
 /**
- * Decides when an answer is given up.
+ * Decides when a response has timed out.
  *
- * <p>A limit on the whole would have to know its size: a large answer over a slow link would be cut
- * for ever, each time with nearly all of it received. What is limited here is the time to its
- * beginning, and from then on the time in which fewer than {@link #PROGRESS_BYTES} arrive. So an
- * answer may take as long as its size needs, and a connection that went silent is found as soon as
- * by a limit on the whole.
+ * <p>A timeout on the complete response would have to depend on its size: a large response over a
+ * slow link would time out on every attempt, each time with nearly all of it received. This class
+ * limits the time until the response starts, and from then on the time in which fewer than {@link
+ * #MIN_PROGRESS_BYTES} arrive. A response may thus take as long as its size requires, and a silent
+ * connection is detected as early as by a timeout on the complete response.
  *
- * <p>An answer that comes when it should have been given up is {@link #overdue}: the process itself
- * was stopped for a while, and what it reads then may be from before.
+ * <p>A response whose data arrives after its timeout is {@link #overdue}: the process itself was
+ * suspended, and the data may have been sent before that.
  *
- * <p>Not safe for use by several threads at once.
+ * <p>Not thread-safe.
  */
 public final class TransferProgress {
 
-  /** What trickles more slowly than this in the time of a stall counts as silent. */
-  static final long PROGRESS_BYTES = 4 * 1024;
+  /** A connection that delivers less than this within the stall timeout counts as silent. */
+  static final long MIN_PROGRESS_BYTES = 4 * 1024;
 
   private final TransferLimits limits;
   private final long startMillis;
-  private long progressMillis;
+  private long lastProgressMillis;
   private long bytes;
   private long bytesAtProgress;
-  private boolean begun;
+  private boolean started;
   private boolean overdue;
 
   /**
-   * Creates the state of a question that is sent now.
+   * Creates the state of a request that is sent now.
    *
-   * @param limits how long the answer may keep waiting
+   * @param limits the timeouts of the response
    * @param now milliseconds
    */
   public TransferProgress(TransferLimits limits, long now) {
     this.limits = limits;
     this.startMillis = now;
-    this.progressMillis = now;
+    this.lastProgressMillis = now;
   }
 
   /**
-   * A part of the question was taken.
+   * Records that a part of the request was sent.
    *
    * @param now milliseconds
    */
   public void sent(long now) {
-    if (!begun) {
-      progressMillis = now;
+    if (!started) {
+      lastProgressMillis = now;
     }
   }
 
   /**
-   * The answer begins.
+   * Records that the response has started.
    *
    * @param now milliseconds
    */
   public void begun(long now) {
     overdue |= now > dueMillis();
-    begun = true;
-    progressMillis = now;
+    started = true;
+    lastProgressMillis = now;
   }
 
   /**
-   * A part of the answer's body arrived.
+   * Records that a part of the response body has arrived.
    *
-   * @param count bytes
+   * @param count number of bytes
    * @param now milliseconds
    */
   public void received(int count, long now) {
     overdue |= now > dueMillis();
     bytes += count;
-    if (bytes - bytesAtProgress >= PROGRESS_BYTES) {
+    if (bytes - bytesAtProgress >= MIN_PROGRESS_BYTES) {
       bytesAtProgress = bytes;
-      progressMillis = now;
+      lastProgressMillis = now;
     }
   }
 
   /**
-   * Returns when the answer is given up if nothing more happens.
+   * Returns when the response times out if nothing more arrives.
    *
    * @return milliseconds
    */
   public long dueMillis() {
-    return progressMillis + (begun ? limits.stallMillis() : limits.beginMillis());
+    return lastProgressMillis
+        + (started ? limits.stallTimeoutMillis() : limits.startTimeoutMillis());
   }
 
   /**
-   * Returns whether a part came later than the answer should have been given up.
+   * Returns whether a part of the response arrived after the timeout.
    *
-   * @return whether the answer is of no use, though it may be whole
+   * @return whether the response must be discarded, although it may be complete
    */
   public boolean overdue() {
     return overdue;
   }
 
   /**
-   * Returns what has arrived.
+   * Returns duration and size of what has arrived.
    *
    * @param now milliseconds
-   * @return so far
+   * @return the transfer up to now
    */
   public Transfer transfer(long now) {
     return new Transfer(now - startMillis, bytes);
--- a/runtime/src/main/java/org/hornbeamusher/transfer/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/transfer/package-info.java
@@ -1,2 +1,2 @@
-/** How an answer arrives: what it takes, and what was received of one that does not end. */
+/** Progress of the transfer of responses: timeouts, duration and received bytes. */
 package org.hornbeamusher.transfer;
--- a/runtime/src/test/java/org/hornbeamusher/directory/MissingEndpointProperties.java
+++ b/runtime/src/test/java/org/hornbeamusher/directory/MissingEndpointProperties.java
@@ -54,7 +54,7 @@
 
   private long outageEndMillis;
   private boolean refuses;
-  private long answerMillis;
+  private long responseMillis;
 
   /** The row of the endpoint "b" is missing from this time until {@link #missingUntil}. */
   private long missingFrom;
@@ -67,9 +67,9 @@
       @ForAll @LongRange(min = 1_000, max = 1_700) long from,
       @ForAll @LongRange(min = 100, max = 15_000) long lasted,
       @ForAll @IntRange(max = 100) int leftAt,
-      @ForAll @LongRange(min = 1, max = 60) long answer,
+      @ForAll @LongRange(min = 1, max = 60) long response,
       @ForAll boolean refused) {
-    outage(from, lasted, answer, refused);
+    outage(from, lasted, response, refused);
     missingFrom = from + lasted * leftAt / 100;
     missingUntil = Long.MAX_VALUE;
     startWatch();
@@ -83,9 +83,9 @@
       @ForAll @LongRange(min = 1_000, max = 1_700) long from,
       @ForAll @LongRange(min = 2_400, max = 15_000) long lasted,
       @ForAll @LongRange(min = 0, max = 1_500) long returned,
-      @ForAll @LongRange(min = 1, max = 60) long answer,
+      @ForAll @LongRange(min = 1, max = 60) long response,
       @ForAll boolean refused) {
-    outage(from, lasted, answer, refused);
+    outage(from, lasted, response, refused);
     missingFrom = from + 2_400;
     missingUntil = outageEndMillis + returned;
     startWatch();
@@ -98,10 +98,10 @@
             });
   }
 
-  private void outage(long from, long lasted, long answer, boolean refused) {
+  private void outage(long from, long lasted, long response, boolean refused) {
     outageStartMillis = from;
     outageEndMillis = from + lasted;
-    answerMillis = answer;
+    responseMillis = response;
     refuses = refused;
   }
 
@@ -118,13 +118,13 @@
             loop.clock(),
             new TableWatch.Listener() {
               @Override
-              public void received(Changes changes, long askedMillis) {
-                listed(changes, askedMillis, watch[0]);
+              public void received(Changes changes, long requestedMillis) {
+                listed(changes, requestedMillis, watch[0]);
               }
 
               @Override
-              public void unanswered(long askedMillis) {
-                directory.unanswered(askedMillis);
+              public void unanswered(long requestedMillis) {
+                directory.unanswered(requestedMillis);
               }
             });
     watch[0].start();
@@ -157,17 +157,17 @@
 
     @Override
     public CompletableFuture<Page> page(String table, String after, int failures) {
-      CompletableFuture<Page> answer = new CompletableFuture<>();
+      CompletableFuture<Page> response = new CompletableFuture<>();
       long now = loop.clock().millis();
       boolean lost = now >= outageStartMillis && now < outageEndMillis;
       if (lost) {
-        long limit = refuses ? answerMillis : LIMITS.afterFailures(failures).beginMillis();
-        loop.after(limit, () -> answer.completeExceptionally(failure()));
+        long limit = refuses ? responseMillis : LIMITS.afterFailures(failures).startTimeoutMillis();
+        loop.after(limit, () -> response.completeExceptionally(failure()));
       } else {
         Page page = new Page(rows(now), now, false, Transfer.NONE);
-        loop.after(answerMillis, () -> answer.complete(page));
+        loop.after(responseMillis, () -> response.complete(page));
       }
-      return answer;
+      return response;
     }
 
     private List<ChangedRow> rows(long now) {
--- a/runtime/src/test/java/org/hornbeamusher/transfer/TransferProgressTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/transfer/TransferProgressTest.java
@@ -16,27 +16,27 @@
   private final TransferProgress progress = new TransferProgress(LIMITS, 1_000);
 
   @Test
-  void answerThatDoesNotBeginIsGivenUp() {
+  void responseThatDoesNotStartTimesOut() {
     assertEquals(1_450, progress.dueMillis());
   }
 
   @Test
-  void questionThatIsStillBeingSentIsNotGivenUp() {
+  void requestThatIsStillBeingSentDoesNotTimeOut() {
     progress.sent(1_400);
     assertEquals(1_850, progress.dueMillis());
   }
 
   @Test
-  void silentAnswerIsGivenUpAfterItsStall() {
+  void silentResponseTimesOutAfterStallTimeout() {
     progress.begun(1_200);
     progress.received(100_000, 1_250);
     assertEquals(1_550, progress.dueMillis());
     assertEquals(new Transfer(500, 100_000), progress.transfer(1_500));
   }
 
-  /** Guards against a list from before a freeze that passes for one of after it. */
+  /** Guards against using a list that was sent before the process was suspended as a new one. */
   @Test
-  void answerThatComesAfterItsLimitIsOfNoUse() {
+  void responseThatArrivesAfterItsTimeoutIsOverdue() {
     progress.begun(1_400);
     assertFalse(progress.overdue());
     progress.received(100, 1_699);
@@ -45,9 +45,9 @@
     assertTrue(progress.overdue());
   }
 
-  /** Guards against an answer that trickles and keeps its reader for ever. */
+  /** Guards against a response that trickles in and never times out. */
   @Test
-  void tricklingAnswerIsGivenUp() {
+  void tricklingResponseTimesOut() {
     progress.begun(1_000);
     for (int now = 1_010; now < 1_300; now += 10) {
       progress.received(1, now);
@@ -55,9 +55,9 @@
     assertEquals(1_300, progress.dueMillis());
   }
 
-  /** Guards against a limit that the size of an answer decides. */
+  /** Guards against a timeout that depends on the size of a response. */
   @Property(seed = "20261203")
-  void answerThatMakesProgressIsNeverGivenUp(
+  void responseThatMakesProgressNeverTimesOut(
       @ForAll @IntRange(min = 1, max = 299) int pause,
       @ForAll @IntRange(min = 1, max = 2_000) int parts) {
     TransferProgress large = new TransferProgress(LIMITS, 0);
@@ -66,13 +66,13 @@
     for (int i = 0; i < parts; i++) {
       now += pause;
       assertTrue(now < large.dueMillis());
-      large.received((int) TransferProgress.PROGRESS_BYTES, now);
+      large.received((int) TransferProgress.MIN_PROGRESS_BYTES, now);
     }
   }
 
-  /** Guards against a repeat that is cut by the limit that cut the attempt before. */
+  /** Guards against a retry that fails by the same timeout as the attempt before. */
   @Test
-  void repeatsGetMoreTimeWithinBounds() {
+  void retriesGetLongerTimeoutsWithinBounds() {
     assertEquals(new TransferLimits(900, 600), LIMITS.afterFailures(1));
     assertEquals(new TransferLimits(900, 2_400), LIMITS.afterFailures(100));
     assertEquals(new TransferLimits(1_450, 300), LIMITS.afterHold(1_000));
