--- a/runtime/src/main/java/org/hornbeamusher/table/CommitResult.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/CommitResult.java
@@ -2,17 +2,17 @@
 
 import java.util.Optional;
 
-/** How the table service decided on a transaction. */
+/** The result of a transaction. */
 public sealed interface CommitResult {
 
-  /** Every write took effect. */
+  /** All writes took effect. */
   record Committed() implements CommitResult {}
 
   /**
    * A condition did not hold and nothing was written.
    *
    * @param key the first row whose condition failed
-   * @param current that row as it is now
+   * @param current the current row; empty if there is none
    */
   record Conflict(RowKey key, Optional<Row> current) implements CommitResult {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/table/HttpInstanceList.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/HttpInstanceList.java
@@ -13,11 +13,11 @@
   private final URI uri;
 
   /**
-   * Creates a reader.
+   * Creates a client.
    *
-   * @param client sends the calls
-   * @param platform where the platform is
-   * @param timeoutMillis how long a call may take
+   * @param client the HTTP client
+   * @param platform base URI of the platform
+   * @param timeoutMillis timeout of a call
    */
   public HttpInstanceList(HttpClient client, URI platform, long timeoutMillis) {
     this.calls = new PlatformCalls(client, timeoutMillis);
--- a/runtime/src/main/java/org/hornbeamusher/table/HttpTable.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/HttpTable.java
@@ -9,7 +9,7 @@
 import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
 
-/** The table service over HTTP; its formats are in {@code docs/PLATFORM-INTERFACE.md}. */
+/** Accesses the table service over HTTP; see {@code docs/PLATFORM-INTERFACE.md} for the formats. */
 public final class HttpTable implements Table {
 
   private final PlatformCalls calls;
@@ -19,9 +19,9 @@
   /**
    * Creates a client.
    *
-   * @param client sends the calls
-   * @param platform where the platform is
-   * @param timeoutMillis how long a call may take
+   * @param client the HTTP client
+   * @param platform base URI of the platform
+   * @param timeoutMillis timeout of a call
    */
   public HttpTable(HttpClient client, URI platform, long timeoutMillis) {
     this.calls = new PlatformCalls(client, timeoutMillis);
@@ -51,7 +51,7 @@
     byte[] body = PlatformJson.encode(PlatformJson.Commit.of(transaction));
     return calls.write(
         HttpCall.postJson(commits, body),
-        answer -> PlatformJson.decode(answer, PlatformJson.Result.class).toResult());
+        response -> PlatformJson.decode(response, PlatformJson.Result.class).toResult());
   }
 
   private static String encode(String text) {
--- a/runtime/src/main/java/org/hornbeamusher/table/Instance.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/Instance.java
@@ -4,15 +4,15 @@
 import org.hornbeamusher.ids.PoolName;
 
 /**
- * One instance as the platform's list shows it.
+ * One instance in the platform's instance list.
  *
- * @param id names the instance; a replacement has another one
- * @param host its IP number
- * @param port where its process listens for peers
+ * @param id identifies the instance; a replacement gets another id
+ * @param host its IP address
+ * @param port the port on which its process listens for peers
  * @param role what runs there
  * @param zone its availability zone
- * @param pool what an agent's endpoint belongs to; of an entry, the partner's entry pool
- * @param leaving whether the platform is about to take it away
+ * @param pool of an agent, the pool of its endpoint; of an entry, the partner's entry pool
+ * @param leaving whether the platform is about to terminate it
  */
 public record Instance(
     String id,
@@ -25,9 +25,9 @@
 
   /** What runs on an instance. */
   public enum Role {
-    /** Takes callers' requests. */
+    /** Accepts callers' requests. */
     ENTRY,
-    /** Runs beside an endpoint. */
+    /** Runs next to an endpoint. */
     AGENT
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/table/PlatformCalls.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/PlatformCalls.java
@@ -11,11 +11,11 @@
 import org.hornbeamusher.http.HttpReply;
 
 /**
- * Sends calls to the platform and says of each failure whether a write may have taken effect.
+ * Sends calls to the platform and classifies each failure by whether a write may have taken effect.
  *
- * <p>A write was not made only if the connection was refused or the platform answered so. After a
- * timeout, a cut connection, an internal error or an answer that cannot be read it may have been
- * made: claiming otherwise would let a claim be made twice or a document be reverted.
+ * <p>A write has not taken effect only if the connection was refused or the platform's response
+ * says so. After a timeout, a lost connection, an internal error or an unreadable response it may
+ * have taken effect: otherwise a claim could be made twice or a document be reverted.
  */
 final class PlatformCalls {
 
@@ -45,42 +45,43 @@
   }
 
   private static <T> T decode(
-      HttpReply reply, Throwable thrown, Function<byte[], T> decoder, Outcome whenUnclear) {
+      HttpReply reply, Throwable thrown, Function<byte[], T> decoder, Outcome ambiguousOutcome) {
     if (thrown != null) {
-      throw cut(HornbeamusherException.from(thrown), whenUnclear);
+      throw connectionFailure(HornbeamusherException.from(thrown), ambiguousOutcome);
     }
     switch (reply.status()) {
       case OK, CONFLICT -> {
         try {
           return decoder.apply(reply.body());
         } catch (HornbeamusherException e) {
-          throw whenUnclear.equals(Outcome.UNKNOWN) ? unclear("unreadable answer") : e;
+          throw ambiguousOutcome.equals(Outcome.UNKNOWN) ? responseLost("unreadable answer") : e;
         }
       }
       case THROTTLED -> throw HornbeamusherException.notRun(FailureType.PLATFORM_THROTTLED);
       case UNAVAILABLE ->
           throw HornbeamusherException.notRun(FailureType.PLATFORM_UNAVAILABLE, "status 503");
-      default -> throw refused(reply.status(), whenUnclear);
+      default -> throw unexpectedStatus(reply.status(), ambiguousOutcome);
     }
   }
 
-  private static CompletionException cut(HornbeamusherException failure, Outcome whenUnclear) {
+  private static CompletionException connectionFailure(
+      HornbeamusherException failure, Outcome ambiguousOutcome) {
     boolean notSent = failure.type() == FailureType.CONNECT_FAILED;
     HornbeamusherException typed =
-        notSent || whenUnclear.equals(Outcome.NOT_RUN)
+        notSent || ambiguousOutcome.equals(Outcome.NOT_RUN)
             ? HornbeamusherException.notRun(FailureType.PLATFORM_UNAVAILABLE, failure.getMessage())
-            : unclear(failure.getMessage());
+            : responseLost(failure.getMessage());
     return new CompletionException(typed.causedBy(failure));
   }
 
-  private static HornbeamusherException refused(int status, Outcome whenUnclear) {
+  private static HornbeamusherException unexpectedStatus(int status, Outcome ambiguousOutcome) {
     boolean internal = status >= 500;
-    return internal && whenUnclear.equals(Outcome.UNKNOWN)
-        ? unclear("status " + status)
+    return internal && ambiguousOutcome.equals(Outcome.UNKNOWN)
+        ? responseLost("status " + status)
         : HornbeamusherException.notRun(FailureType.PLATFORM_MALFORMED, "status " + status);
   }
 
-  private static HornbeamusherException unclear(String why) {
+  private static HornbeamusherException responseLost(String why) {
     return HornbeamusherException.of(FailureType.PLATFORM_ANSWER_LOST, Outcome.UNKNOWN, why);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/table/PlatformJson.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/PlatformJson.java
@@ -17,7 +17,7 @@
 import org.hornbeamusher.table.Transaction.Condition;
 import org.hornbeamusher.table.Transaction.Write;
 
-/** The JSON forms of {@code docs/PLATFORM-INTERFACE.md}; values of rows are in base 64. */
+/** The JSON formats of {@code docs/PLATFORM-INTERFACE.md}; row values are encoded in base64. */
 public final class PlatformJson {
 
   private static final ObjectMapper JSON =
@@ -29,7 +29,7 @@
   private PlatformJson() {}
 
   /**
-   * Writes a form.
+   * Encodes a record as JSON.
    *
    * @param form one of the records of this class
    * @return JSON
@@ -43,13 +43,13 @@
   }
 
   /**
-   * Reads a form.
+   * Decodes a record from JSON.
    *
-   * @param <T> its type
-   * @param json the text
+   * @param <T> type of the record
+   * @param json the JSON text
    * @param form one of the records of this class
-   * @return what it says
-   * @throws HornbeamusherException of type {@code PLATFORM_MALFORMED} for any other text
+   * @return the decoded record
+   * @throws HornbeamusherException of type {@code PLATFORM_MALFORMED} if the text is not such JSON
    */
   public static <T> T decode(byte[] json, Class<T> form) {
     T value;
@@ -95,17 +95,17 @@
   }
 
   /**
-   * The answer to a read or a scan.
+   * The response to a read or a scan.
    *
    * @param rows the rows found
    */
   public record Rows(List<RowForm> rows) {
 
     /**
-     * Describes rows.
+     * Converts rows to their JSON form.
      *
      * @param rows the rows
-     * @return their form
+     * @return their JSON form
      */
     public static Rows of(List<Row> rows) {
       return new Rows(rows.stream().map(RowForm::of).toList());
@@ -120,11 +120,11 @@
   }
 
   /**
-   * A condition: {@code revision} 0 means that the row is absent.
+   * A condition on a row.
    *
    * @param table the row's table
    * @param key the row's key
-   * @param revision the revision it must have
+   * @param revision the revision that the row must have; 0 if it must not exist
    */
   public record ConditionForm(String table, String key, long revision) {
 
@@ -144,11 +144,11 @@
   }
 
   /**
-   * A write: without a {@code value} the row is deleted.
+   * A write of a row.
    *
    * @param table the row's table
    * @param key the row's key
-   * @param value the new content
+   * @param value the new content; null to delete the row
    */
   public record WriteForm(String table, String key, byte[] value) {
 
@@ -170,16 +170,16 @@
   /**
    * A transaction.
    *
-   * @param conditions what must hold
-   * @param writes what is written
+   * @param conditions conditions that must all hold
+   * @param writes the writes to apply
    */
   public record Commit(List<ConditionForm> conditions, List<WriteForm> writes) {
 
     /**
-     * Describes a transaction.
+     * Converts a transaction to its JSON form.
      *
      * @param transaction the transaction
-     * @return its form
+     * @return its JSON form
      */
     public static Commit of(Transaction transaction) {
       return new Commit(
@@ -190,7 +190,7 @@
     /**
      * Returns the transaction.
      *
-     * @return what the form says
+     * @return the decoded transaction
      */
     public Transaction toTransaction() {
       return new Transaction(
@@ -200,18 +200,18 @@
   }
 
   /**
-   * The answer to a transaction.
+   * The response to a transaction.
    *
    * @param committed whether it took effect
-   * @param conflict the row whose condition failed, without it when committed
+   * @param conflict the row whose condition failed; null if committed
    */
   public record Result(boolean committed, ConflictForm conflict) {
 
     /**
-     * Describes a result.
+     * Converts a result to its JSON form.
      *
      * @param result the result
-     * @return its form
+     * @return its JSON form
      */
     public static Result of(CommitResult result) {
       return switch (result) {
@@ -244,20 +244,20 @@
    *
    * @param table the row's table
    * @param key the row's key
-   * @param current the row as it is; absent when there is none
+   * @param current the current row; null if there is none
    */
   public record ConflictForm(String table, String key, RowForm current) {}
 
   /**
    * An instance.
    *
-   * @param id its name
-   * @param host its IP number
-   * @param port where its process listens for peers
+   * @param id identifies the instance
+   * @param host its IP address
+   * @param port the port on which its process listens for peers
    * @param role {@code entry} or {@code agent}
    * @param availabilityZone its availability zone
    * @param pool its pool
-   * @param leaving whether it is about to be taken away
+   * @param leaving whether it is about to be terminated
    */
   public record InstanceForm(
       String id,
@@ -282,7 +282,7 @@
     /**
      * Returns the instance.
      *
-     * @return what the form says
+     * @return the decoded instance
      */
     public Instance toInstance() {
       if (id == null || host == null || role == null) {
@@ -311,16 +311,16 @@
   public record Instances(List<InstanceForm> instances) {
 
     /**
-     * Describes a list.
+     * Converts a list of instances to its JSON form.
      *
      * @param list the instances
-     * @return its form
+     * @return its JSON form
      */
     public static Instances of(List<Instance> list) {
       return new Instances(list.stream().map(InstanceForm::of).toList());
     }
 
-    /** Reads the list; an instance that cannot be read is left out, so the others stay usable. */
+    /** Decodes the list; an unreadable instance is skipped, so that the others stay usable. */
     List<Instance> list() {
       if (instances == null) {
         throw malformed("it lacks instances");
--- a/runtime/src/main/java/org/hornbeamusher/table/RowKey.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/RowKey.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.table;
 
 /**
- * Names one row of the platform's table service.
+ * Identifies one row of the platform's table service.
  *
  * @param table the table
  * @param key the row's key within the table; rows are scanned in key order
--- a/runtime/src/main/java/org/hornbeamusher/table/Table.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/Table.java
@@ -16,8 +16,8 @@
   /**
    * Reads one row.
    *
-   * @param key the row's name
-   * @return the row, or empty when there is none
+   * @param key identifies the row
+   * @return the row, or empty if there is none
    */
   CompletableFuture<Optional<Row>> read(RowKey key);
 
@@ -25,9 +25,9 @@
    * Reads rows in key order.
    *
    * @param table the table
-   * @param prefix the keys' common beginning
-   * @param after only keys greater than this one; empty from the start
-   * @param limit at most this many rows
+   * @param prefix common prefix of the keys
+   * @param after only keys greater than this one; empty to read from the start
+   * @param limit maximum number of rows
    * @return the rows
    */
   CompletableFuture<List<Row>> scan(String table, String prefix, String after, int limit);
@@ -36,7 +36,7 @@
    * Applies a transaction.
    *
    * @param transaction conditions and writes
-   * @return whether it took effect
+   * @return whether it took effect, or which condition failed
    */
   CompletableFuture<CommitResult> commit(Transaction transaction);
 }
--- a/runtime/src/main/java/org/hornbeamusher/table/Transaction.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/Transaction.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Writes that take effect together, and only if every condition holds.
+ * Writes that take effect atomically, and only if all conditions hold.
  *
- * @param conditions what must hold; empty means unconditional
- * @param writes what is written
+ * @param conditions conditions that must all hold; empty for an unconditional transaction
+ * @param writes the writes to apply
  */
 public record Transaction(List<Condition> conditions, List<Write> writes) {
 
@@ -16,54 +16,54 @@
     writes = List.copyOf(writes);
   }
 
-  /** What must hold of one row. */
+  /** A condition on one row. */
   public sealed interface Condition {
 
     /**
-     * Returns the row the condition is about.
+     * Returns the row that the condition applies to.
      *
-     * @return the row's name
+     * @return the key of the row
      */
     RowKey key();
 
     /**
      * The row does not exist.
      *
-     * @param key the row's name
+     * @param key identifies the row
      */
     record Absent(RowKey key) implements Condition {}
 
     /**
      * The row exists at a revision.
      *
-     * @param key the row's name
+     * @param key identifies the row
      * @param revision the revision it must have
      */
     record AtRevision(RowKey key, long revision) implements Condition {}
   }
 
-  /** One row's change. */
+  /** A write of one row. */
   public sealed interface Write {
 
     /**
-     * Returns the row that changes.
+     * Returns the row that is written.
      *
-     * @return the row's name
+     * @return the key of the row
      */
     RowKey key();
 
     /**
      * Creates or replaces a row.
      *
-     * @param key the row's name
+     * @param key identifies the row
      * @param value the new content
      */
     record Put(RowKey key, byte[] value) implements Write {}
 
     /**
-     * Removes a row.
+     * Deletes a row.
      *
-     * @param key the row's name
+     * @param key identifies the row
      */
     record Delete(RowKey key) implements Write {}
   }
--- a/runtime/src/main/java/org/hornbeamusher/table/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's table service, object store and instance list as this project sees them. */
+/** Clients of the platform's table service and instance list. */
 package org.hornbeamusher.table;
--- a/runtime/src/test/java/org/hornbeamusher/table/MemoryTable.java
+++ b/runtime/src/test/java/org/hornbeamusher/table/MemoryTable.java
@@ -11,37 +11,37 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.failure.Outcome;
 
-/** A table in memory whose next calls can be made to fail. */
+/** An in-memory table with fault injection. */
 public final class MemoryTable implements Table {
 
   private final Map<String, TreeMap<String, Row>> tables = new TreeMap<>();
   private final ArrayDeque<Runnable> beforeCommits = new ArrayDeque<>();
-  private int lostAnswers;
+  private int lostResponses;
   private boolean down;
   private int commits;
   private int reads;
 
-  /** Makes the next commits take effect and lose their answers. */
+  /** Makes the next commits take effect and fail with a lost response. */
   public void loseAnswers(int count) {
-    lostAnswers = count;
+    lostResponses = count;
   }
 
-  /** Makes every call fail without effect, or no longer. */
+  /** Sets whether every call fails without effect. */
   public void down(boolean isDown) {
     down = isDown;
   }
 
-  /** Runs something between the reads of a caller and its next commit. */
+  /** Runs an action before the next commit, for example a concurrent write. */
   public void beforeNextCommit(Runnable action) {
     beforeCommits.add(action);
   }
 
-  /** Returns how many commits were tried. */
+  /** Returns the number of attempted commits. */
   public int commits() {
     return commits;
   }
 
-  /** Returns how many reads and scans were made. */
+  /** Returns the number of reads and scans. */
   public int reads() {
     return reads;
   }
@@ -49,13 +49,13 @@
   @Override
   public CompletableFuture<Optional<Row>> read(RowKey key) {
     reads++;
-    return answer(() -> Optional.ofNullable(table(key.table()).get(key.key())));
+    return respond(() -> Optional.ofNullable(table(key.table()).get(key.key())));
   }
 
   @Override
   public CompletableFuture<List<Row>> scan(String table, String prefix, String after, int limit) {
     reads++;
-    return answer(
+    return respond(
         () ->
             table(table).tailMap(after, false).values().stream()
                 .filter(row -> row.key().key().startsWith(prefix))
@@ -70,21 +70,21 @@
     if (before != null) {
       before.run();
     }
-    CompletableFuture<CommitResult> result = answer(() -> apply(transaction));
-    if (lostAnswers > 0) {
-      lostAnswers--;
+    CompletableFuture<CommitResult> result = respond(() -> apply(transaction));
+    if (lostResponses > 0) {
+      lostResponses--;
       return CompletableFuture.failedFuture(
           HornbeamusherException.of(FailureType.PLATFORM_ANSWER_LOST, Outcome.UNKNOWN, "cut"));
     }
     return result;
   }
 
-  private <T> CompletableFuture<T> answer(Supplier<T> answer) {
+  private <T> CompletableFuture<T> respond(Supplier<T> response) {
     if (down) {
       return CompletableFuture.failedFuture(
           HornbeamusherException.notRun(FailureType.PLATFORM_UNAVAILABLE, "down"));
     }
-    return CompletableFuture.completedFuture(answer.get());
+    return CompletableFuture.completedFuture(response.get());
   }
 
   private CommitResult apply(Transaction transaction) {
