--- a/runtime/src/main/java/org/hornbeamusher/placement/EndpointView.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/EndpointView.java
@@ -32,7 +32,7 @@
   /** Fraction of an engine's memory that is assumed to cache prompts sent by this entry. */
   private static final double PREFIX_MEMORY_FRACTION = 0.25;
 
-  /** Limit on the remembered evicted adapters; greater than the number of copies of any engine. */
+  /** Limit on the remembered evicted adapters; more than any engine has cached copies of. */
   private static final int MAX_EVICTED_ADAPTERS = 512;
 
   private final PrefixCacheEstimate prefixes;
