--- a/runtime/src/main/java/org/hornbeamusher/scheduling/AgentAction.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/AgentAction.java
@@ -5,40 +5,41 @@
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.PartnerId;
 
-/** What the agent's shell does next. */
+/** An action that the scheduler tells its agent to carry out. */
 public sealed interface AgentAction {
 
   /**
-   * Start a request on the endpoint; its adapter is resident and pinned.
+   * Starts a request on the endpoint; its adapter is resident and pinned.
    *
    * @param ticket the request
-   * @param loadStallMillis how long it waited for a load
+   * @param loadStallMillis how long the request waited for its adapter to be loaded
    */
   record Start(long ticket, long loadStallMillis) implements AgentAction {}
 
   /**
-   * Refuse a request that was not started.
+   * Refuses a request that was not started.
    *
    * @param ticket the request
-   * @param type why
-   * @param retryAfterMillis when the caller may come back
+   * @param type the reason
+   * @param retryAfterMillis after how long the caller may retry
    */
   record Refuse(long ticket, FailureType type, long retryAfterMillis) implements AgentAction {}
 
   /**
-   * Order the endpoint to load an adapter, after evicting another one.
+   * Tells the endpoint to load an adapter, after evicting another one if all slots are taken.
    *
-   * @param adapter what to load
-   * @param evict what to unload first; never pinned
+   * @param adapter the adapter to load
+   * @param evict the adapter to unload first; never pinned
    */
   record Load(AdapterRef adapter, Optional<AdapterRef> evict) implements AgentAction {}
 
   /**
-   * Ask the weight store's permit holder for a turn, or change the stated demand.
+   * Requests a load permit from the permit holder of the weight store, or updates the demand of an
+   * earlier request.
    *
-   * @param partner whose requests wait
-   * @param demand weighted waiting demand of the most wanted adapter; 0 withdraws the ask and gives
-   *     back a turn
+   * @param partner the partner whose requests wait for the load
+   * @param demand weighted waiting demand of the adapter with the highest demand; 0 withdraws the
+   *     request and returns a permit that was granted
    */
   record AskPermit(PartnerId partner, double demand) implements AgentAction {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/AgentScheduler.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/AgentScheduler.java
@@ -13,93 +13,97 @@
 import org.hornbeamusher.routing.EndpointLoad;
 
 /**
- * Decides for one endpoint what is started, refused, loaded and evicted.
+ * Decides for one endpoint which requests are started or refused and which adapters are loaded or
+ * evicted.
  *
- * <p>One agent stands beside one endpoint and everything that runs there passes through it, so this
- * class is the serial point of that endpoint: a pin counted here needs no lock anywhere else. It is
- * a plain state machine. The shell tells it what happened, with the time, and then asks {@link
- * #poll} for what to do; it opens no connection, starts no thread and reads no clock. Not safe for
- * use by several threads at once.
+ * <p>One agent runs beside each endpoint and all requests to the endpoint pass through it, so this
+ * class serialises all decisions for that endpoint and its pin counts need no further lock. It is a
+ * plain state machine: the agent reports each event together with the time and then calls {@link
+ * #poll} for the next actions. It opens no connections, starts no threads and reads no clock. Not
+ * thread-safe.
  *
- * <h2>What a request goes through</h2>
+ * <h2>Life of a request</h2>
  *
  * <ol>
- *   <li>{@link #submit}: {@link Admission} refuses at once what cannot finish in time or finds no
- *       room in the queue. All else waits.
- *   <li>{@link #poll} drops what has become hopeless while it waited. A request that the scheduler
- *       has given up on gets its answer then, never held back until its deadline.
- *   <li>{@link #poll} fills the free batch places from the requests whose adapter is resident, in
- *       the order of {@link FairQueue}. Starting pins the adapter.
- *   <li>{@link #poll} orders at most one load, for the adapter that {@link LoadDemand} puts first,
- *       into the slot that {@link Residency} gives.
- *   <li>{@link #finished} unpins. A started request is never refused.
+ *   <li>{@link #submit}: {@link QueueAdmission} refuses at once what cannot finish in time or finds
+ *       no room in the queue. Everything else is queued.
+ *   <li>{@link #poll} refuses queued requests that can no longer meet their deadline. The refusal
+ *       is sent as soon as this is known and not held back until the deadline.
+ *   <li>{@link #poll} fills the free batch slots with requests whose adapter is resident, in the
+ *       order of {@link FairQueue}. Starting a request pins its adapter.
+ *   <li>{@link #poll} starts at most one load, for the adapter that {@link LoadDemand} ranks first,
+ *       into the adapter slot that {@link Residency} chooses.
+ *   <li>{@link #finished} unpins the adapter. A started request is never refused.
  * </ol>
  *
- * <h2>Filling the batch against waiting for loads</h2>
+ * <h2>Batch efficiency against load stalls</h2>
  *
- * <p>Requests whose adapter is resident overtake those that wait for a load: leaving a place empty
- * for an adapter that is not there helps nobody. But when every slot holds an adapter that is in
- * use, always starting the next request on it keeps it pinned for ever, and the adapter that waits
- * never finds a slot. Example with one slot and a batch of two: requests for A arrive every 100 ms
- * and run 300 ms, one for B arrives; A's pin count never reaches 0 and B is never loaded.
+ * <p>Requests whose adapter is resident overtake those that wait for a load: leaving a batch slot
+ * empty for an adapter that is not resident helps nobody. But when every adapter slot holds an
+ * adapter in use, always starting the next request on it keeps it pinned for ever, and a waiting
+ * adapter never gets a slot. Example with one adapter slot and a batch of two: requests for A
+ * arrive every 100 ms and run 300 ms, one for B arrives; A's pin count never reaches 0 and B is
+ * never loaded.
  *
- * <p>So overtaking has a bound. Once the oldest request for the most wanted adapter has waited that
- * long, the resident adapter that will be free first is <em>drained</em>: nothing more starts on it
- * until its pins are gone and it is evicted. Draining leaves places empty, which costs batch
- * efficiency, and shortens a load stall; the services' documents say what each is worth to them.
- * The bound is {@value #OVERTAKING_MILLIS} ms × 2 × (1 − urgency): a service that weighs only
- * stalls drains at once, one that weighs both alike after the whole bound, one that weighs only
- * batch efficiency after twice the bound. An adapter with more waiting demand than the newcomer is
- * not drained; demand ages, so the newcomer's turn comes all the same.
+ * <p>Overtaking is therefore bounded. Once a request for the adapter with the highest demand has
+ * waited that long, the resident adapter that is expected to become idle first is <em>drained</em>:
+ * no further requests start on it until its pins are gone and it is evicted. Draining leaves batch
+ * slots empty, which costs batch efficiency, and shortens a load stall; the service documents weigh
+ * the two. The bound is {@value #OVERTAKING_LIMIT_MILLIS} ms × 2 × (1 − urgency): a service that
+ * weighs only stalls drains at once, one that weighs both alike after the whole bound, and one that
+ * weighs only batch efficiency after twice the bound. An adapter with more waiting demand than the
+ * new adapter is not drained; demand increases with waiting time, so the new adapter is loaded
+ * eventually.
  *
  * <h2>Loads</h2>
  *
- * <p>One order is in flight at a time. The store serves one load at full speed, so a second would
- * slow the first, and the demand may have changed by the time it starts. Without a permit no load
- * begins (when the settings ask for permits); the ask carries the demand, so the holder can put the
- * most wanted adapter of all agents first. A request whose deadline leaves no time for load and run
- * is refused before the load is chosen, so no load is ordered for requests that are all lost.
+ * <p>One load is in flight at a time. The weight store serves one load at full speed, so a second
+ * one would slow down the first, and demand may have changed by the time it starts. If the settings
+ * require permits, no load starts without one; the permit request carries the demand, so the permit
+ * holder can serve the adapter with the highest demand of all agents first. A request whose
+ * deadline leaves no time for the load and the run is refused before the load is chosen, so no load
+ * is started for requests that are all lost.
  *
- * <p>After {@link #endpointRestarted} nothing is resident and every waiting request misses its
- * adapter; the same order of loads rewarms the endpoint, most wanted first and one at a time.
+ * <p>After {@link #endpointRestarted} no adapter is resident and every queued request waits for a
+ * load; the same load order rewarms the endpoint, highest demand first and one at a time.
  *
- * <h2>How fast it reacts, and what keeps it from swinging</h2>
+ * <h2>Reaction time and stability</h2>
  *
- * <p>Starts and refusals follow each event at once. Loads follow demand with the next order, so
- * after a shift in popularity the bound is the weight store's pace. The minimum stay and the rule
- * that waiting demand protects a resident keep two adapters from evicting each other; draining is
- * held back by its bound; expectations of run time and load pace are means over tens of requests
- * and a few loads, within fixed limits.
+ * <p>Starts and refusals follow each event at once. Loads follow demand with the next load, so
+ * after a shift in popularity the weight store's rate is the limit. Two rules keep two adapters
+ * from evicting each other: the minimum residency time, and the rule that waiting demand protects a
+ * resident adapter. Draining is delayed by its bound. Run time and load time estimates are means
+ * over tens of requests and a few loads, within fixed limits.
  *
- * <h2>Rejected</h2>
+ * <h2>Rejected alternatives</h2>
  *
  * <ul>
- *   <li>Preempting a running request for a fairer share: the tokens it made are wasted, and a
+ *   <li>Preempting a running request for a fairer share: the tokens it generated are wasted, and a
  *       request that must run at most once cannot be started again.
- *   <li>Several loads at a time: see above.
- *   <li>A guaranteed part of the slots for each partner, beside that of the batch and the store's
- *       turns: with one partner flooding a pool it changed the other's share by less than the
- *       measurement's own spread, and cost batch efficiency.
- *   <li>Holding a request that will miss its deadline in the hope that others are cancelled: its
+ *   <li>Several concurrent loads: see above.
+ *   <li>Guaranteeing each partner a part of the adapter slots, in addition to its share of the
+ *       batch and of the load permits: with one partner flooding a pool this changed the other's
+ *       share by less than the spread of the measurement, and cost batch efficiency.
+ *   <li>Keeping a request that will miss its deadline in the hope that others are cancelled: its
  *       caller could have gone elsewhere.
  * </ul>
  */
 public final class AgentScheduler {
 
-  private static final long OVERTAKING_MILLIS = 2_000;
+  private static final long OVERTAKING_LIMIT_MILLIS = 2_000;
 
-  /** A batch of fewer places is open to long requests entirely. */
-  private static final int SMALLEST_LIMITED_BATCH = 4;
+  /** In a batch with fewer slots, long requests may use all of them. */
+  private static final int MIN_BATCH_FOR_LONG_LIMIT = 4;
 
-  /** One place in this many is closed to long requests. */
-  private static final int LONG_LIMIT_PART = 8;
+  /** One batch slot in this many is closed to long requests. */
+  private static final int LONG_LIMIT_DIVISOR = 8;
 
-  /** A request that hangs is charged at most this many times what was expected. */
-  private static final double MOST_CHARGED = 4;
+  /** A request that hangs is charged at most this many times its expected cost. */
+  private static final double MAX_CHARGE_FACTOR = 4;
 
   /**
-   * How long what waits at a leaving endpoint may still be started: half of the two seconds after
-   * which such an endpoint gets nothing new any more. The other half is for the way to the engine.
+   * How long a leaving endpoint may still start queued requests: half of the two seconds after
+   * which no new work may reach its engine. The other half covers the delivery to the engine.
    */
   static final long LEAVING_START_MILLIS = 1_000;
 
@@ -113,26 +117,26 @@
   private final LoadFailures failures = new LoadFailures();
   private final LoadPermit permit;
   private final LoadPace pace;
-  private final WorkEstimate work;
-  private final WaitEstimate estimate;
-  private final Admission admission;
-  private final Map<Long, Waiting> running = new HashMap<>();
+  private final RunTimeEstimate runTimeEstimate;
+  private final WaitEstimate waitEstimate;
+  private final QueueAdmission admission;
+  private final Map<Long, ScheduledRequest> running = new HashMap<>();
   private final List<AgentAction> refusals = new ArrayList<>();
 
-  /** Before this time no waiting request needs to be looked at for being hopeless. */
-  private long nextScan = Long.MIN_VALUE;
+  /** Before this time no queued request can become unable to meet its deadline. */
+  private long nextDeadlineScanMillis = Long.MIN_VALUE;
 
-  private long lastScan = Long.MIN_VALUE;
+  private long lastDeadlineScanMillis = Long.MIN_VALUE;
 
   private final DrainWindow drainWindow = new DrainWindow(LEAVING_START_MILLIS);
 
-  /** On which nothing more starts until it is evicted. */
+  /** The adapter that is drained: no further requests start on it until it is evicted. */
   private Optional<AdapterRef> draining = Optional.empty();
 
   /**
-   * Creates a scheduler for an endpoint that holds nothing.
+   * Creates a scheduler for an endpoint without resident adapters.
    *
-   * @param settings the endpoint's figures
+   * @param settings the endpoint's capacity and limits
    */
   public AgentScheduler(SchedulerSettings settings) {
     this.settings = settings;
@@ -141,34 +145,35 @@
     this.demand = new LoadDemand(settings);
     this.permit = new LoadPermit(settings);
     this.pace = new LoadPace(settings);
-    this.work = new WorkEstimate(settings);
-    this.estimate =
-        new WaitEstimate(settings, queue, residency, work, demand, pace, running.values());
-    this.admission = new Admission(settings, queue, estimate, work, failures);
+    this.runTimeEstimate = new RunTimeEstimate(settings);
+    this.waitEstimate =
+        new WaitEstimate(
+            settings, queue, residency, runTimeEstimate, demand, pace, running.values());
+    this.admission = new QueueAdmission(settings, queue, waitEstimate, runTimeEstimate, failures);
   }
 
   /**
-   * Takes in a request. Whether it is refused is said by the next {@link #poll}.
+   * Submits a request. The next {@link #poll} reports whether it is refused.
    *
-   * @param request what arrived
+   * @param request the request
    * @param now milliseconds
    */
   public void submit(QueuedRequest request, long now) {
-    work.arrived(request.costTokens());
+    runTimeEstimate.requestArrived(request.costTokens());
     switch (admission.decide(request, now)) {
-      case AdmissionDecision.Admit admit -> enqueue(request, now);
-      case AdmissionDecision.Displace displace -> {
-        refuse(displace.victim(), FailureType.QUEUE_FULL, waitOf(displace.victim(), now));
+      case QueueAdmissionDecision.Admit admit -> enqueue(request, now);
+      case QueueAdmissionDecision.Displace displace -> {
+        refuse(displace.victim(), FailureType.QUEUE_FULL, retryAfterMillis(displace.victim(), now));
         enqueue(request, now);
       }
-      case AdmissionDecision.Refuse refuse ->
+      case QueueAdmissionDecision.Refuse refuse ->
           refusals.add(
               new AgentAction.Refuse(request.ticket(), refuse.type(), refuse.retryAfterMillis()));
     }
   }
 
   /**
-   * Forgets a request, queued or running.
+   * Cancels a request, queued or running.
    *
    * @param ticket the request
    * @param now milliseconds
@@ -178,7 +183,7 @@
     queue.find(ticket).ifPresent(this::dequeue);
     refusals.removeIf(
         action -> action instanceof AgentAction.Refuse refuse && refuse.ticket() == ticket);
-    Waiting started = running.remove(ticket);
+    ScheduledRequest started = running.remove(ticket);
     if (started != null) {
       release(started, now);
     }
@@ -186,41 +191,42 @@
   }
 
   /**
-   * Records that a started request ended, in whatever way.
+   * Records that a started request ended, whether it succeeded or not.
    *
    * @param ticket the request
    * @param now milliseconds
    */
   public void finished(long ticket, long now) {
-    Waiting ended = running.remove(ticket);
+    ScheduledRequest ended = running.remove(ticket);
     if (ended != null) {
-      work.ended(ended.request.costTokens(), now - ended.startedMillis());
+      runTimeEstimate.requestEnded(ended.request.costTokens(), now - ended.startedMillis());
       release(ended, now);
     }
   }
 
   /**
-   * Records that a load ended well.
+   * Records that a load succeeded.
    *
-   * @param adapter what was loaded
+   * @param adapter the adapter that was loaded
    * @param now milliseconds
    */
   public void loaded(AdapterRef adapter, long now) {
-    pace.ended(now);
+    pace.loadEnded(now);
     failures.succeeded(adapter);
     residency.loaded(adapter, now);
     demand.waitingFor(adapter).forEach(waiting -> waiting.adapterPresent(now));
   }
 
   /**
-   * Records that a load failed; its eviction has happened all the same. When it failed too often,
-   * the requests for it are refused so that their entries can send them elsewhere.
+   * Records that a load failed; the eviction for it has happened nevertheless. After too many
+   * failures in a row the requests for the adapter are refused, so that their entries can send them
+   * elsewhere.
    *
-   * @param adapter what was not loaded
+   * @param adapter the adapter whose load failed
    * @param now milliseconds
    */
   public void loadFailed(AdapterRef adapter, long now) {
-    pace.ended(now);
+    pace.loadEnded(now);
     residency.loadFailed(adapter);
     failures.failed(adapter, now);
     OptionalLong refused = failures.refusedForMillis(adapter, now);
@@ -231,32 +237,32 @@
   }
 
   /**
-   * Records that the endpoint restarted: it holds nothing, and what ran on it is lost. The shell
-   * settles the lost requests; {@link #finished} for them has no effect.
+   * Records that the endpoint restarted: no adapter is resident, and the requests that ran on it
+   * are lost. The agent responds to the lost requests; {@link #finished} has no effect for them.
    *
    * @param now milliseconds
    */
   public void endpointRestarted(long now) {
     running.keySet().forEach(ticket -> queue.ended(ticket, 0));
     running.clear();
-    residency.cleared();
+    residency.clear();
     draining = Optional.empty();
-    markWaiting(now);
+    updateAdapterStates(now);
   }
 
   /**
-   * Replaces what is known of the endpoint by what it says it holds.
+   * Replaces the known resident adapters by those that the endpoint reports.
    *
-   * @param resident what it holds
+   * @param resident the adapters that the endpoint reports as loaded
    * @param now milliseconds
    */
   public void residencyObserved(Set<AdapterRef> resident, long now) {
-    residency.observed(resident, now);
-    markWaiting(now);
+    residency.replaceResidents(resident, now);
+    updateAdapterStates(now);
   }
 
   /**
-   * Records that one load may begin.
+   * Records that a permit for one load was granted.
    *
    * @param now milliseconds
    */
@@ -265,10 +271,10 @@
   }
 
   /**
-   * The endpoint leaves. Left in its queue, a request that waits for a load or for a place is
-   * started when its turn comes, seconds after everybody was told that nothing new runs here; on an
-   * endpoint that is then stopped it is lost. What has not started soon is therefore given back as
-   * not run, and its entry sends it elsewhere.
+   * Records that the endpoint is leaving. A request that stayed queued for a load or a batch slot
+   * would be started seconds after the endpoint was reported as taking no new work, and would be
+   * lost if the endpoint is then stopped. Requests that have not started shortly after this call
+   * are therefore refused as not run, and their entries send them elsewhere.
    *
    * @param now milliseconds
    */
@@ -277,7 +283,7 @@
   }
 
   /**
-   * Returns whether requests may still be handed to the endpoint.
+   * Returns whether requests may still be started on the endpoint.
    *
    * @param now milliseconds
    * @return false soon after {@link #leave}
@@ -287,16 +293,16 @@
   }
 
   /**
-   * Decides what happens next.
+   * Returns the next actions.
    *
    * @param now milliseconds
-   * @return the actions, in order
+   * @return the actions, in the order in which they must be carried out
    */
   public List<AgentAction> poll(long now) {
     if (!mayStart(now)) {
       List.copyOf(queue.all()).forEach(one -> refuse(one, FailureType.ENDPOINT_LEAVING, 0));
     }
-    dropHopeless(now);
+    refuseLateRequests(now);
     List<AgentAction> actions = new ArrayList<>(refusals);
     refusals.clear();
     fillBatch(actions, now);
@@ -305,7 +311,7 @@
   }
 
   /**
-   * Returns when {@link #poll} must be called again though nothing happened.
+   * Returns when {@link #poll} must be called again if no event occurs before.
    *
    * @param now milliseconds
    * @return a time in milliseconds, after {@code now}
@@ -318,10 +324,10 @@
   }
 
   /**
-   * Describes the endpoint for the entries.
+   * Returns the load of the endpoint as it is reported to the entries.
    *
    * @param now milliseconds
-   * @return the report
+   * @return the load report
    */
   public EndpointLoad load(long now) {
     return new EndpointLoad(
@@ -329,49 +335,52 @@
         queue.size(),
         settings.batch(),
         settings.slots(),
-        Math.round(estimate.newcomerPlaceWaitMillis(now)),
-        Math.round(estimate.newcomerLoadWaitMillis()),
+        Math.round(waitEstimate.newCallerSlotWaitMillis(now)),
+        Math.round(waitEstimate.newAdapterLoadWaitMillis()),
         residency.residents());
   }
 
   private void enqueue(QueuedRequest request, long now) {
-    Waiting added = queue.add(request, work.runMillis(request.costTokens()));
+    ScheduledRequest added = queue.add(request, runTimeEstimate.runMillis(request.costTokens()));
     demand.add(added);
-    nextScan = Math.min(nextScan, mayBeHopelessAt(request));
+    nextDeadlineScanMillis = Math.min(nextDeadlineScanMillis, latestLoadStartMillis(request));
     request
         .adapter()
         .ifPresent(
             ref -> {
-              residency.requested(ref, added.urgency(), now);
-              mark(added, ref, now);
+              residency.recordRequest(ref, added.urgency(), now);
+              updateAdapterState(added, ref, now);
             });
   }
 
-  private void dequeue(Waiting waiting) {
+  private void dequeue(ScheduledRequest waiting) {
     queue.remove(waiting);
     demand.remove(waiting);
   }
 
-  private void refuse(Waiting waiting, FailureType type, long retryAfterMillis) {
+  private void refuse(ScheduledRequest waiting, FailureType type, long retryAfterMillis) {
     dequeue(waiting);
     refusals.add(new AgentAction.Refuse(waiting.request.ticket(), type, retryAfterMillis));
   }
 
-  private void release(Waiting ended, long now) {
-    double expected = Math.max(1, work.runMillis(ended.request.costTokens()));
+  private void release(ScheduledRequest ended, long now) {
+    double expected = Math.max(1, runTimeEstimate.runMillis(ended.request.costTokens()));
     double ratio = Math.max(0, now - ended.startedMillis()) / expected;
     queue.ended(
-        ended.request.ticket(), ended.request.costTokens() * (Math.min(ratio, MOST_CHARGED) - 1));
+        ended.request.ticket(),
+        ended.request.costTokens() * (Math.min(ratio, MAX_CHARGE_FACTOR) - 1));
     ended.request.adapter().ifPresent(residency::unpin);
   }
 
-  private void markWaiting(long now) {
+  private void updateAdapterStates(long now) {
     queue
         .all()
-        .forEach(waiting -> waiting.request.adapter().ifPresent(ref -> mark(waiting, ref, now)));
+        .forEach(
+            waiting ->
+                waiting.request.adapter().ifPresent(ref -> updateAdapterState(waiting, ref, now)));
   }
 
-  private void mark(Waiting waiting, AdapterRef adapter, long now) {
+  private void updateAdapterState(ScheduledRequest waiting, AdapterRef adapter, long now) {
     if (residency.resident(adapter)) {
       waiting.adapterPresent(now);
     } else {
@@ -379,40 +388,46 @@
     }
   }
 
-  private void dropHopeless(long now) {
-    if (now < nextScan && now >= lastScan) {
+  private void refuseLateRequests(long now) {
+    if (now < nextDeadlineScanMillis && now >= lastDeadlineScanMillis) {
       return;
     }
-    lastScan = now;
-    nextScan = now + WAITING_POLL_MILLIS;
-    queue.all().forEach(one -> nextScan = Math.min(nextScan, mayBeHopelessAt(one.request)));
-    List<Waiting> hopeless = queue.all().stream().filter(one -> hopeless(one, now)).toList();
-    hopeless.forEach(one -> refuse(one, FailureType.DEADLINE_TOO_NEAR, waitOf(one, now)));
-  }
-
-  /** Returns a time before which a request still has its run and a whole load before it. */
-  private long mayBeHopelessAt(QueuedRequest request) {
-    double run = work.runMillis(request.costTokens());
+    lastDeadlineScanMillis = now;
+    nextDeadlineScanMillis = now + WAITING_POLL_MILLIS;
+    queue
+        .all()
+        .forEach(
+            one ->
+                nextDeadlineScanMillis =
+                    Math.min(nextDeadlineScanMillis, latestLoadStartMillis(one.request)));
+    List<ScheduledRequest> late =
+        queue.all().stream().filter(one -> missesDeadline(one, now)).toList();
+    late.forEach(one -> refuse(one, FailureType.DEADLINE_TOO_NEAR, retryAfterMillis(one, now)));
+  }
+
+  /** Returns the latest time at which a load can start if a request is to finish in time. */
+  private long latestLoadStartMillis(QueuedRequest request) {
+    double run = runTimeEstimate.runMillis(request.costTokens());
     return request.deadlineMillis() - Math.round(run) - settings.loadMillis();
   }
 
-  private boolean hopeless(Waiting waiting, long now) {
+  private boolean missesDeadline(ScheduledRequest waiting, long now) {
     if (!settings.uses(Mechanism.EARLY_REFUSAL)) {
       return waiting.request.deadlineMillis() <= now;
     }
     double load =
-        waiting.request.adapter().map(ref -> estimate.leastLoadMillis(ref, now)).orElse(0.0);
-    double run = work.runMillis(waiting.request.costTokens());
+        waiting.request.adapter().map(ref -> waitEstimate.minLoadMillis(ref, now)).orElse(0.0);
+    double run = runTimeEstimate.runMillis(waiting.request.costTokens());
     return now + load + run > waiting.request.deadlineMillis();
   }
 
-  private long waitOf(Waiting waiting, long now) {
-    return Admission.retryAfter(estimate.waitMillis(waiting.request, now));
+  private long retryAfterMillis(ScheduledRequest waiting, long now) {
+    return QueueAdmission.retryAfter(waitEstimate.waitMillis(waiting.request, now));
   }
 
   private void fillBatch(List<AgentAction> actions, long now) {
     while (running.size() < settings.batch()) {
-      Optional<Waiting> next = queue.next(startable());
+      Optional<ScheduledRequest> next = queue.next(startable());
       if (next.isEmpty()) {
         return;
       }
@@ -420,26 +435,28 @@
     }
   }
 
-  private Predicate<Waiting> startable() {
-    boolean longAllowed = longRunning() < longPlaces();
+  private Predicate<ScheduledRequest> startable() {
+    boolean longAllowed = runningLongRequests() < longRequestLimit();
     return waiting ->
-        !waiting.missesAdapter()
+        !waiting.awaitsAdapter()
             && (draining.isEmpty() || !waiting.request.adapter().equals(draining))
-            && (longAllowed || !work.isLong(waiting.request.costTokens()));
+            && (longAllowed || !runTimeEstimate.isLong(waiting.request.costTokens()));
   }
 
-  private long longRunning() {
-    return running.values().stream().filter(one -> work.isLong(one.request.costTokens())).count();
+  private long runningLongRequests() {
+    return running.values().stream()
+        .filter(one -> runTimeEstimate.isLong(one.request.costTokens()))
+        .count();
   }
 
-  private int longPlaces() {
-    if (!settings.uses(Mechanism.LONG_LIMIT) || settings.batch() < SMALLEST_LIMITED_BATCH) {
+  private int longRequestLimit() {
+    if (!settings.uses(Mechanism.LONG_LIMIT) || settings.batch() < MIN_BATCH_FOR_LONG_LIMIT) {
       return Integer.MAX_VALUE;
     }
-    return settings.batch() - Math.max(1, settings.batch() / LONG_LIMIT_PART);
+    return settings.batch() - Math.max(1, settings.batch() / LONG_LIMIT_DIVISOR);
   }
 
-  private AgentAction start(Waiting waiting, long now) {
+  private AgentAction start(ScheduledRequest waiting, long now) {
     queue.started(waiting);
     demand.remove(waiting);
     waiting.started(now);
@@ -454,14 +471,15 @@
     }
     List<AdapterRef> order =
         demand.order(ref -> !residency.resident(ref) && failures.mayTry(ref, now), now);
-    pace.wanted(!order.isEmpty(), now);
+    pace.loadWanted(!order.isEmpty(), now);
     for (AdapterRef adapter : order) {
-      switch (residency.place(adapter, draining, ref -> demand.of(ref, now), now)) {
+      switch (residency.choosePlacement(
+          adapter, draining, ref -> demand.demandFor(ref, now), now)) {
         case Placement.FreeSlot free -> {
-          return askOrLoad(adapter, Optional.empty(), now);
+          return loadOrRequestPermit(adapter, Optional.empty(), now);
         }
         case Placement.Evict evict -> {
-          return askOrLoad(adapter, Optional.of(evict.victim()), now);
+          return loadOrRequestPermit(adapter, Optional.of(evict.victim()), now);
         }
         case Placement.NoRoom none -> {}
       }
@@ -470,38 +488,40 @@
     return permit.withdraw();
   }
 
-  private Optional<AgentAction> askOrLoad(
+  private Optional<AgentAction> loadOrRequestPermit(
       AdapterRef adapter, Optional<AdapterRef> evict, long now) {
     if (!permit.mayLoad()) {
-      return permit.ask(demand.payer(adapter).orElseThrow(), demand.of(adapter, now), now);
+      return permit.request(
+          demand.chargedPartner(adapter).orElseThrow(), demand.demandFor(adapter, now), now);
     }
     draining = Optional.empty();
-    permit.used();
-    demand.ordered(adapter, now);
+    permit.consume();
+    demand.loadStarted(adapter, now);
     residency.loadStarted(adapter, evict, now);
     evict.ifPresent(
         victim -> demand.waitingFor(victim).forEach(waiting -> waiting.adapterMissing(now)));
     return Optional.of(new AgentAction.Load(adapter, evict));
   }
 
-  private void drainFor(Optional<AdapterRef> newcomer, long now) {
+  private void drainFor(Optional<AdapterRef> newAdapter, long now) {
     boolean overdue =
         settings.uses(Mechanism.DRAINING)
-            && newcomer.isPresent()
-            && demand.waitingFor(newcomer.get()).stream().anyMatch(one -> overtaken(one, now));
+            && newAdapter.isPresent()
+            && demand.waitingFor(newAdapter.get()).stream()
+                .anyMatch(one -> overtakenTooLong(one, now));
     if (!overdue) {
       draining = Optional.empty();
     } else if (draining.isEmpty() || !residency.resident(draining.get())) {
       draining =
-          residency.toDrain(
-              newcomer.get(),
-              ref -> demand.of(ref, now),
-              ref -> estimate.busyMillis(ref, now),
+          residency.chooseToDrain(
+              newAdapter.get(),
+              ref -> demand.demandFor(ref, now),
+              ref -> waitEstimate.busyMillis(ref, now),
               now);
     }
   }
 
-  private static boolean overtaken(Waiting waiting, long now) {
-    return waiting.stallMillis(now) >= OVERTAKING_MILLIS * 2 * (1 - waiting.urgency());
+  private static boolean overtakenTooLong(ScheduledRequest waiting, long now) {
+    return waiting.stallMillis(now) >= OVERTAKING_LIMIT_MILLIS * 2 * (1 - waiting.urgency());
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/DecayedCount.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/DecayedCount.java
@@ -1,10 +1,10 @@
 package org.hornbeamusher.scheduling;
 
 /**
- * Counts events so that an old one weighs less: half as much after each half-life.
+ * Exponentially decaying event count: an event's weight halves with each half-life.
  *
- * <p>A plain count would keep an adapter that was hot yesterday; a window would forget a rare one
- * at its edge. One number and one time are kept per counter.
+ * <p>A plain count would favour an adapter that was hot yesterday; a sliding window would drop a
+ * rarely used one at its edge. Each counter stores one number and one timestamp.
  */
 final class DecayedCount {
 
@@ -16,7 +16,7 @@
     this.halfLifeMillis = halfLifeMillis;
   }
 
-  /** Returns the count at a time; a clock that stepped back is read as no time passed. */
+  /** Returns the count at a time; after a step back of the clock no decay is applied. */
   double at(long now) {
     double elapsed = Math.max(0, now - asOf);
     return value * Math.pow(0.5, elapsed / halfLifeMillis);
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/DrainWindow.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/DrainWindow.java
@@ -1,10 +1,10 @@
 package org.hornbeamusher.scheduling;
 
 /**
- * The time for which a leaving endpoint may still be given what it has taken in.
+ * The time window in which a leaving endpoint may still start requests that its agent has accepted.
  *
- * <p>The clock is the machine's, since deadlines come from other processes. Once it is seen to have
- * been set back the window is closed for good, because how much of it is left is not known.
+ * <p>It uses the wall clock, since deadlines come from other processes. Once the clock is seen to
+ * have been set back, the window is closed for good, because the remaining time is unknown.
  */
 final class DrainWindow {
 
@@ -15,15 +15,15 @@
   private long endMillis;
 
   /**
-   * Creates the window of an endpoint that stays.
+   * Creates the window of an endpoint that is not leaving.
    *
-   * @param openMillis how long it is open after {@link #leave}
+   * @param openMillis how long the window stays open after {@link #leave}
    */
   DrainWindow(long openMillis) {
     this.openMillis = openMillis;
   }
 
-  /** The endpoint leaves; further calls change nothing. */
+  /** Records that the endpoint is leaving; further calls have no effect. */
   void leave(long now) {
     if (!leaving) {
       leaving = true;
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/LoadDemand.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/LoadDemand.java
@@ -17,32 +17,34 @@
 import org.hornbeamusher.pacing.PartnerTurns;
 
 /**
- * Orders the adapters that requests wait for.
+ * Orders the adapters that requests wait for by demand.
  *
- * <p>Load pattern: more adapters are wanted than the weight store can give, some by many callers
- * and some by one. In order of arrival a hot adapter waits behind a tail of single requests, and
- * the sum of the stalls is far greater than it need be. By demand alone the tail never comes.
- *
- * <p>An adapter's demand is the sum over its waiting requests of {@code urgency × (1 + (waited /
- * ageing)²) / (1 + recent loads of the caller / its weight)}:
+ * <p>The demand for an adapter is the sum over its waiting requests of {@code urgency × (1 +
+ * (waited / ageing)²) / (1 + recent loads of the caller / its weight)}:
  *
  * <ul>
- *   <li>Urgency is how much the service minds a stall (see {@link Waiting#urgency}): of two
- *       adapters that each one request waits for, a valuation's comes before a roster's.
- *   <li>Ageing: a request that waited {@value #AGEING_MILLIS} ms weighs as much as two fresh ones,
- *       and one that waited three times as long as ten. The square leaves the order of those that
- *       came lately to demand, which gives the least stall in all (ageing in proportion from one
- *       second on gave half as much again under bursts), and still brings a rare adapter before new
- *       hot ones in a time that grows with how hot these are and is never infinite.
- *   <li>A caller that was just given many loads weighs less, as in proportional-fair scheduling of
- *       radio channels; else one caller that names a new adapter with every request has the store
- *       for itself.
+ *   <li>Urgency is the weight that the service gives to load stalls (see {@link
+ *       ScheduledRequest#urgency}): of two adapters with one waiting request each, the one of a
+ *       valuation service is loaded before that of a roster service.
+ *   <li>Ageing: a request that waited {@value #AGEING_MILLIS} ms weighs as much as two new ones,
+ *       and one that waited three times as long as ten. The square leaves the order of recent
+ *       requests to demand, which gives the lowest total stall (linear ageing from one second on
+ *       gave half as much again under bursts). It still loads a rarely used adapter before new hot
+ *       ones, after a finite time that grows with how hot these are.
+ *   <li>A caller that was recently given many loads weighs less, as in proportional-fair scheduling
+ *       of radio channels; otherwise one caller that names a new adapter with every request would
+ *       have the weight store to itself.
  * </ul>
  *
- * <p>Requests for one adapter share one load because demand is kept by adapter.
+ * <p>This addresses the case in which more adapters are wanted than the weight store can deliver,
+ * some by many callers and some by one. In order of arrival a hot adapter waits behind a tail of
+ * single requests, and the total stall is far greater than necessary. By demand without ageing the
+ * tail is never loaded.
+ *
+ * <p>Requests for the same adapter share one load because demand is kept by adapter.
  *
- * <p>Between partners the weights must not decide alone, since each writes its own: {@link
- * PartnerTurns} holds each to its share of the loads, and demand decides within that.
+ * <p>The weights must not decide alone between partners, since each partner writes its own: {@link
+ * PartnerTurns} limits each partner to its share of the loads, and demand decides within that.
  */
 final class LoadDemand {
 
@@ -50,19 +52,19 @@
   private static final double CALLER_HALF_LIFE_MILLIS = 10_000;
 
   private final SchedulerSettings settings;
-  private final Map<AdapterRef, Set<Waiting>> byAdapter = new LinkedHashMap<>();
+  private final Map<AdapterRef, Set<ScheduledRequest>> byAdapter = new LinkedHashMap<>();
   private final Map<CallerId, DecayedCount> callerLoads = new HashMap<>();
   private final PartnerTurns turns;
 
-  /** The partners that wanted a load when the order was last asked for. */
-  private Set<PartnerId> wanting = Set.of();
+  /** The partners that wanted a load when {@link #order} was last called. */
+  private Set<PartnerId> waitingPartners = Set.of();
 
   LoadDemand(SchedulerSettings settings) {
     this.settings = settings;
     this.turns = new PartnerTurns(settings.partnerShares());
   }
 
-  void add(Waiting waiting) {
+  void add(ScheduledRequest waiting) {
     waiting
         .request
         .adapter()
@@ -70,7 +72,7 @@
             ref -> byAdapter.computeIfAbsent(ref, key -> new LinkedHashSet<>()).add(waiting));
   }
 
-  void remove(Waiting waiting) {
+  void remove(ScheduledRequest waiting) {
     waiting
         .request
         .adapter()
@@ -85,67 +87,67 @@
   }
 
   /** Returns the requests that wait for an adapter. */
-  Collection<Waiting> waitingFor(AdapterRef adapter) {
+  Collection<ScheduledRequest> waitingFor(AdapterRef adapter) {
     return byAdapter.getOrDefault(adapter, Set.of());
   }
 
-  /** Returns the weighted demand for an adapter, 0 when nobody waits. */
-  double of(AdapterRef adapter, long now) {
+  /** Returns the weighted demand for an adapter, 0 if no request waits for it. */
+  double demandFor(AdapterRef adapter, long now) {
     double sum = 0;
-    for (Waiting waiting : waitingFor(adapter)) {
+    for (ScheduledRequest waiting : waitingFor(adapter)) {
       sum += demand(waiting, now);
     }
     return sum;
   }
 
-  /** Returns how many adapters fulfil a condition and are waited for. */
+  /** Returns how many adapters with waiting requests satisfy a condition. */
   long count(Predicate<AdapterRef> condition) {
     return byAdapter.keySet().stream().filter(condition).count();
   }
 
   /**
-   * Returns the adapters to load, the most wanted first.
+   * Returns the adapters to load, in the order in which to load them.
    *
-   * @param loadable which may be loaded now
+   * @param loadable which adapters may be loaded now
    * @param now milliseconds
    */
   List<AdapterRef> order(Predicate<AdapterRef> loadable, long now) {
-    List<Wanted> wanted =
-        byAdapter.keySet().stream().filter(loadable).map(ref -> wanted(ref, now)).toList();
+    List<Candidate> candidates =
+        byAdapter.keySet().stream().filter(loadable).map(ref -> candidate(ref, now)).toList();
     if (!settings.uses(Mechanism.WEIGHTED_LOADS)) {
-      return wanted.stream().map(Wanted::adapter).toList();
+      return candidates.stream().map(Candidate::adapter).toList();
     }
-    wanting = wanted.stream().map(Wanted::partner).collect(Collectors.toSet());
-    Set<PartnerId> entitled = turns.entitled(wanting);
-    return wanted.stream()
+    waitingPartners = candidates.stream().map(Candidate::partner).collect(Collectors.toSet());
+    Set<PartnerId> entitled = turns.entitled(waitingPartners);
+    return candidates.stream()
         .sorted(
-            Comparator.<Wanted, Boolean>comparing(entry -> !entitled.contains(entry.partner))
-                .thenComparing(Comparator.comparingDouble(Wanted::demand).reversed())
-                .thenComparing(Wanted::adapter))
-        .map(Wanted::adapter)
+            Comparator.<Candidate, Boolean>comparing(entry -> !entitled.contains(entry.partner))
+                .thenComparing(Comparator.comparingDouble(Candidate::demand).reversed())
+                .thenComparing(Candidate::adapter))
+        .map(Candidate::adapter)
         .toList();
   }
 
-  /** Charges a load that was ordered to the callers and the partner it is for. */
-  void ordered(AdapterRef adapter, long now) {
-    Collection<Waiting> served = waitingFor(adapter);
-    for (Waiting waiting : served) {
+  /** Charges a load that was started to the callers and the partner that it serves. */
+  void loadStarted(AdapterRef adapter, long now) {
+    Collection<ScheduledRequest> served = waitingFor(adapter);
+    for (ScheduledRequest waiting : served) {
       callerLoads
           .computeIfAbsent(
               waiting.request.caller(), key -> new DecayedCount(CALLER_HALF_LIFE_MILLIS))
           .add(1.0 / served.size(), now);
     }
     callerLoads.values().removeIf(count -> count.at(now) < 0.01);
-    payer(adapter).ifPresent(partner -> turns.charge(partner, wanting));
+    chargedPartner(adapter).ifPresent(partner -> turns.charge(partner, waitingPartners));
   }
 
-  private record Wanted(AdapterRef adapter, double demand, PartnerId partner) {}
+  private record Candidate(AdapterRef adapter, double demand, PartnerId partner) {}
 
-  private Wanted wanted(AdapterRef adapter, long now) {
-    return new Wanted(adapter, of(adapter, now), payer(adapter).orElseThrow());
+  private Candidate candidate(AdapterRef adapter, long now) {
+    return new Candidate(adapter, demandFor(adapter, now), chargedPartner(adapter).orElseThrow());
   }
 
-  private double demand(Waiting waiting, long now) {
+  private double demand(ScheduledRequest waiting, long now) {
     if (!settings.uses(Mechanism.WEIGHTED_LOADS)) {
       return 1;
     }
@@ -157,8 +159,8 @@
     return waiting.urgency() * (1 + age * age) / (1 + recent / callerWeight);
   }
 
-  /** Returns the partner most of whose requests wait for an adapter. */
-  Optional<PartnerId> payer(AdapterRef adapter) {
+  /** Returns the partner with the most requests waiting for an adapter; it is charged the load. */
+  Optional<PartnerId> chargedPartner(AdapterRef adapter) {
     Map<PartnerId, Integer> counts = new LinkedHashMap<>();
     waitingFor(adapter).forEach(one -> counts.merge(one.request.partner(), 1, Integer::sum));
     return counts.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey);
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/LoadPace.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/LoadPace.java
@@ -1,25 +1,26 @@
 package org.hornbeamusher.scheduling;
 
 /**
- * Measures how long a load takes here from being wanted to being resident.
+ * Measures how long a load takes at this endpoint from being wanted to its end.
  *
- * <p>The weight store is shared, so a load takes its own time and the wait for a turn, which only
- * experience tells. The mean is over about {@value #MEMORY} loads.
+ * <p>The weight store is shared, so the time consists of the load itself and of the wait for a
+ * permit, which can only be measured. The moving mean covers about {@value #MEAN_WINDOW_LOADS}
+ * loads.
  */
 final class LoadPace {
 
-  private static final double MEMORY = 4;
+  private static final double MEAN_WINDOW_LOADS = 4;
   private static final long NOT_WANTED = Long.MIN_VALUE;
 
-  private double turnMillis;
+  private double intervalMillis;
   private long wantedSince = NOT_WANTED;
 
   LoadPace(SchedulerSettings settings) {
-    this.turnMillis = settings.loadMillis();
+    this.intervalMillis = settings.loadMillis();
   }
 
-  /** Notes whether any load is wanted. */
-  void wanted(boolean any, long now) {
+  /** Records whether any load is wanted. */
+  void loadWanted(boolean any, long now) {
     if (!any) {
       wantedSince = NOT_WANTED;
     } else if (wantedSince == NOT_WANTED) {
@@ -27,16 +28,16 @@
     }
   }
 
-  /** Notes that a load ended. */
-  void ended(long now) {
+  /** Records that a load ended, whether it succeeded or not. */
+  void loadEnded(long now) {
     if (wantedSince != NOT_WANTED) {
-      turnMillis += (Math.max(0, now - wantedSince) - turnMillis) / MEMORY;
+      intervalMillis += (Math.max(0, now - wantedSince) - intervalMillis) / MEAN_WINDOW_LOADS;
       wantedSince = NOT_WANTED;
     }
   }
 
   /** Returns the expected time from one load to the next. */
-  double turnMillis() {
-    return turnMillis;
+  double intervalMillis() {
+    return intervalMillis;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/LoadPermit.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/LoadPermit.java
@@ -4,70 +4,70 @@
 import org.hornbeamusher.ids.PartnerId;
 
 /**
- * Asks for turns at the weight store and keeps the one that was granted.
+ * Requests load permits for the weight store and keeps the one that was granted.
  *
- * <p>An ask may be lost with its connection and a grant may come when nothing is wanted any more.
- * So an ask is repeated every {@value #REPEAT_MILLIS} ms, and as soon as the demand has doubled or
- * halved; and a grant that finds no use is given back by an ask for demand 0, or it would hold the
- * store idle until it expires.
+ * <p>A request may be lost with its connection, and a permit may be granted when no load is wanted
+ * any more. So a request is repeated every {@value #REPEAT_MILLIS} ms, and as soon as the demand
+ * has doubled or halved; and an unused permit is returned by a request with demand 0, since it
+ * would otherwise keep the store idle until it expires.
  */
 final class LoadPermit {
 
   private static final long REPEAT_MILLIS = 1_000;
-  private static final double CHANGE_WORTH_TELLING = 2;
+  private static final double DEMAND_CHANGE_FACTOR = 2;
   private static final long NEVER = Long.MIN_VALUE;
 
-  private final boolean needed;
+  private final boolean required;
   private boolean held;
-  private long askedAt = NEVER;
-  private double askedDemand;
+  private long requestedMillis = NEVER;
+  private double requestedDemand;
 
-  /** Set whenever a turn is held or asked for. */
-  private PartnerId askedFor;
+  /** The partner of the last request; set whenever a permit is held or requested. */
+  private PartnerId requestedFor;
 
   LoadPermit(SchedulerSettings settings) {
-    this.needed = settings.permits();
+    this.required = settings.permitsRequired();
   }
 
   boolean mayLoad() {
-    return !needed || held;
+    return !required || held;
   }
 
-  /** Takes a turn; one that was not asked for, or no longer is, counts for nothing. */
+  /** Accepts a granted permit; one that is not, or no longer, requested is ignored. */
   void granted() {
-    held = askedAt != NEVER;
+    held = requestedMillis != NEVER;
   }
 
-  /** Uses the turn up. */
-  void used() {
+  /** Consumes the permit and clears the request. */
+  void consume() {
     held = false;
-    askedAt = NEVER;
+    requestedMillis = NEVER;
   }
 
-  /** Returns what is to be said to the permit holder when a load is wanted and no turn is held. */
-  Optional<AgentAction> ask(PartnerId partner, double demand, long now) {
+  /** Returns the permit request to send, if one is due, when a load is wanted and none is held. */
+  Optional<AgentAction> request(PartnerId partner, double demand, long now) {
     boolean due =
-        askedAt == NEVER
-            || !partner.equals(askedFor)
-            || now - askedAt >= REPEAT_MILLIS
-            || now < askedAt
-            || demand >= askedDemand * CHANGE_WORTH_TELLING
-            || demand * CHANGE_WORTH_TELLING <= askedDemand;
+        requestedMillis == NEVER
+            || !partner.equals(requestedFor)
+            || now - requestedMillis >= REPEAT_MILLIS
+            || now < requestedMillis
+            || demand >= requestedDemand * DEMAND_CHANGE_FACTOR
+            || demand * DEMAND_CHANGE_FACTOR <= requestedDemand;
     if (!due) {
       return Optional.empty();
     }
-    askedAt = now;
-    askedDemand = demand;
-    askedFor = partner;
+    requestedMillis = now;
+    requestedDemand = demand;
+    requestedFor = partner;
     return Optional.of(new AgentAction.AskPermit(partner, demand));
   }
 
-  /** Returns what is to be said when no load is wanted. */
+  /** Returns the withdrawal to send, if needed, when no load is wanted. */
   Optional<AgentAction> withdraw() {
-    if (!held && askedAt == NEVER) {
+    if (!held && requestedMillis == NEVER) {
       return Optional.empty();
     }
-    used();
-    return Optional.of(new AgentAction.AskPermit(askedFor, 0));
+    consume();
+    return Optional.of(new AgentAction.AskPermit(requestedFor, 0));
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/Mechanism.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/Mechanism.java
@@ -1,31 +1,38 @@
 package org.hornbeamusher.scheduling;
 
 /**
- * Parts of the scheduler that can be switched off, so that a measurement shows what each brings.
+ * Features of the scheduler that can be switched off, so that the effect of each can be measured.
  */
 public enum Mechanism {
-  /** Batch places go by weighted shares; without it by arrival. */
+  /** Batch slots are assigned by weighted shares; without it in order of arrival. */
   FAIR_SHARES,
   /**
-   * A class below its whole places goes before all others; without it only shares of work count.
+   * A class that runs fewer requests than its guaranteed whole batch slots goes before all others;
+   * without it only shares of work count.
    */
   GUARANTEED_PLACES,
-  /** Within one caller short requests overtake long ones, within a bound. */
+  /** Within one caller, short requests overtake long ones, up to a limit. */
   SHORT_FIRST,
-  /** Some batch places are closed to requests much longer than usual. */
+  /** Some batch slots are closed to requests that are much longer than usual. */
   LONG_LIMIT,
-  /** Requests that cannot finish in time are refused at once; without it when they expire. */
+  /** Requests that cannot meet their deadline are refused at once; without it when they expire. */
   EARLY_REFUSAL,
-  /** A full queue drops work of whoever holds most of it; without it the newcomer. */
+  /**
+   * A full queue drops a request of the class with the most queued requests relative to its weight;
+   * without it the new request.
+   */
   DISPLACEMENT,
-  /** Loads go by waiting demand and the services' weights; without it by arrival. */
+  /**
+   * Loads are ordered by waiting demand and the weights of the services; without it in order of
+   * arrival.
+   */
   WEIGHTED_LOADS,
-  /** Waiting raises an adapter's place in the load order. */
+  /** The demand for an adapter increases with the waiting time of its requests. */
   LOAD_AGEING,
-  /** Eviction goes by decayed frequency; without it by last use. */
+  /** Eviction is by decayed request frequency; without it least recently used first. */
   FREQUENCY_EVICTION,
-  /** A loaded adapter is kept for a minimum time. */
+  /** A loaded adapter stays resident for a minimum time. */
   MINIMUM_STAY,
-  /** A busy adapter makes room once a request was overtaken for long enough. */
+  /** A busy adapter is drained and evicted once a request has waited long enough for a slot. */
   DRAINING
 }
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/Placement.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/Placement.java
@@ -2,24 +2,24 @@
 
 import org.hornbeamusher.ids.AdapterRef;
 
-/** Whether an adapter can be loaded now, and at whose cost. */
+/** Whether an adapter can be loaded now, and which adapter must be evicted for it. */
 sealed interface Placement {
 
-  /** A slot is empty. */
+  /** An adapter slot is free. */
   record FreeSlot() implements Placement {}
 
   /**
-   * A slot is emptied first.
+   * Another adapter must be evicted first.
    *
-   * @param victim what is unloaded; not pinned
+   * @param victim the adapter to evict; not pinned
    */
   record Evict(AdapterRef victim) implements Placement {}
 
   /**
-   * Every slot is taken by an adapter that may not leave yet.
+   * Every slot holds an adapter that must not be evicted yet.
    *
-   * @param untilMillis when a minimum stay ends that holds one of them; {@link Long#MAX_VALUE} when
-   *     only a request's end can help
+   * @param untilMillis when the first minimum residency time of these adapters ends; {@link
+   *     Long#MAX_VALUE} if a slot can only be freed by the end of a request
    */
   record NoRoom(long untilMillis) implements Placement {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/QueuedRequest.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/QueuedRequest.java
@@ -8,20 +8,20 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * One attempt as an agent queues it.
+ * One attempt at a request, as an agent queues it.
  *
- * @param ticket identifies it at this agent; never reused
- * @param adapter what it runs on; empty for a plain service
- * @param partner who pays for the capacity
+ * @param ticket identifies the attempt at this agent; never reused
+ * @param adapter the adapter it runs on; empty for a service without adapters
+ * @param partner the partner that pays for the capacity
  * @param service the service
- * @param caller who sent it
- * @param costTokens expected work: prompt and answer together
+ * @param caller the caller that sent it
+ * @param costTokens expected work: prompt and output tokens together
  * @param arrivedMillis when it reached the agent
- * @param deadlineMillis when its answer is worthless
+ * @param deadlineMillis the time after which its response is useless
  * @param weights the service's weights
- * @param serviceShare the service's part of its partner's share
- * @param callerWeight the caller's part of the service's share
- * @param queueLimit most requests of the service that may wait here
+ * @param serviceShare weight of the service within its partner's share
+ * @param callerWeight weight of the caller within the service's share
+ * @param queueLimit maximum number of requests of the service queued at this agent
  */
 public record QueuedRequest(
     long ticket,
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/Residency.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/Residency.java
@@ -12,36 +12,39 @@
 import org.hornbeamusher.ids.AdapterRef;
 
 /**
- * Knows what one endpoint holds and chooses what leaves.
+ * Tracks the adapters resident on one endpoint and chooses which one to evict.
  *
- * <p>Load pattern: tens of thousands of adapters, a few hot, a long tail, and only a few slots.
- * Evicting by last use lets a burst of rare adapters push out the hot ones, each of which then
- * costs a load; the weight store gives about two loads a second to everybody, so a slot lost in
- * this way is not won back soon. An adapter is therefore worth its <em>decayed frequency</em> times
- * how much its service minds a stall, and the one worth least leaves.
+ * <p>An adapter's value is its <em>decayed request frequency</em> weighted by the urgency of its
+ * services (how much they weigh load stalls), and the adapter with the lowest value is evicted
+ * first. The workload has tens of thousands of adapters, of which a few are hot and the rest form a
+ * long tail, and an endpoint has only a few slots. Least recently used eviction would let a burst
+ * of rarely used adapters push out the hot ones, each of which then costs a load; the weight store
+ * delivers about two loads a second to all endpoints together, so a slot lost in this way is not
+ * regained soon.
  *
- * <p>Three rules come before worth:
+ * <p>Three rules take precedence over value:
  *
  * <ul>
- *   <li>A pinned adapter never leaves: a request runs on it. Pins are counted apart from the map of
- *       residents, so that an observation which misses an adapter cannot lose its pins.
- *   <li>An adapter with more waiting demand than the newcomer's never leaves, or two adapters would
- *       evict each other without either being served.
- *   <li>An adapter stays for a minimum time. With eight slots and a load of half a second, a stay
- *       of a second bounds the loads which one endpoint can ask for at eight a second; without it a
- *       tail of single requests makes an adapter leave before the requests that share its load have
- *       all started.
+ *   <li>A pinned adapter is never evicted: a request runs on it. Pins are counted apart from the
+ *       map of residents, so that a report which misses an adapter cannot lose its pins.
+ *   <li>An adapter with more waiting demand than the new one is never evicted, or two adapters
+ *       would evict each other without either being served.
+ *   <li>An adapter stays resident for a minimum time. With eight slots and a load time of half a
+ *       second, a minimum of one second limits the loads that one endpoint can request to eight a
+ *       second. Without it, a tail of single requests would evict an adapter before all the
+ *       requests that share its load have started.
  * </ul>
  *
- * <p>The frequency of an adapter that left is remembered ({@value #REMEMBERED} at most, the least
- * frequent are forgotten), else an adapter that returns looks like a newcomer and leaves again.
+ * <p>The frequency of an evicted adapter is remembered (for at most {@value #MAX_REMEMBERED}
+ * adapters; the least frequent are dropped), since otherwise an adapter that returns looks new and
+ * is evicted again.
  */
 final class Residency {
 
-  /** A hot adapter that falls silent is outweighed by one a quarter as hot after two minutes. */
+  /** After two minutes without requests, a hot adapter is outweighed by one a quarter as hot. */
   private static final double HALF_LIFE_MILLIS = 60_000;
 
-  private static final int REMEMBERED = 4_096;
+  private static final int MAX_REMEMBERED = 4_096;
 
   private final SchedulerSettings settings;
   private final Map<AdapterRef, Long> residentSince = new LinkedHashMap<>();
@@ -51,11 +54,11 @@
   private Optional<LoadInFlight> loading = Optional.empty();
 
   /**
-   * The order that the endpoint works on.
+   * The load in progress on the endpoint.
    *
-   * @param adapter what is loaded
-   * @param evicted what is unloaded first
-   * @param sinceMillis when the order was given
+   * @param adapter the adapter that is loaded
+   * @param evicted the adapter that is unloaded first
+   * @param sinceMillis when the load was started
    */
   record LoadInFlight(AdapterRef adapter, Optional<AdapterRef> evicted, long sinceMillis) {}
 
@@ -87,24 +90,25 @@
     pins.computeIfPresent(adapter, (key, count) -> count == 1 ? null : Integer.valueOf(count - 1));
   }
 
-  /** Notes that a request for an adapter arrived, whose service minds stalls by {@code urgency}. */
-  void requested(AdapterRef adapter, double urgency, long now) {
-    forgetLeastFrequent(now);
+  /** Records that a request for an adapter arrived, with the urgency of its service. */
+  void recordRequest(AdapterRef adapter, double urgency, long now) {
+    removeLeastFrequent(now);
     frequency.computeIfAbsent(adapter, key -> new DecayedCount(HALF_LIFE_MILLIS)).add(urgency, now);
     lastUse.put(adapter, now);
   }
 
   /**
-   * Chooses the slot for a newcomer. A drained adapter leaves whatever its demand is by now: its
-   * own requests were held back for the newcomer, and to change one's mind would serve neither.
+   * Chooses the slot for a new adapter. A drained adapter is evicted even if its demand has grown
+   * since: its own requests were held back for the new adapter, and reversing the decision would
+   * serve neither.
    *
-   * @param newcomer what is to be loaded
-   * @param draining what was chosen by {@link #toDrain} and gets no new requests
+   * @param newAdapter the adapter to load
+   * @param draining the adapter chosen by {@link #chooseToDrain}, on which no new requests start
    * @param demand waiting demand of an adapter
    * @param now milliseconds
    */
-  Placement place(
-      AdapterRef newcomer,
+  Placement choosePlacement(
+      AdapterRef newAdapter,
       Optional<AdapterRef> draining,
       ToDoubleFunction<AdapterRef> demand,
       long now) {
@@ -116,36 +120,36 @@
     if (drained.isPresent()) {
       return new Placement.Evict(drained.get());
     }
-    return leavers(newcomer, demand, now)
+    return evictionCandidates(newAdapter, demand, now)
         .filter(adapter -> !pinned(adapter))
-        .min(byWorth(now))
+        .min(byValue(now))
         .<Placement>map(Placement.Evict::new)
-        .orElseGet(() -> new Placement.NoRoom(nextStayEnd(now)));
+        .orElseGet(() -> new Placement.NoRoom(nextMinimumStayEndMillis(now)));
   }
 
   /**
-   * Chooses the busy adapter whose slot is freed by starting nothing more on it: the one that will
-   * be free first, since until then its slot serves nobody new.
+   * Chooses the busy adapter to drain: the one that is expected to become idle first, since no new
+   * request can use its slot until then.
    *
-   * @param newcomer what is to be loaded
+   * @param newAdapter the adapter to load
    * @param demand waiting demand of an adapter
    * @param busyMillis expected time until an adapter's running requests end
    * @param now milliseconds
    */
-  Optional<AdapterRef> toDrain(
-      AdapterRef newcomer,
+  Optional<AdapterRef> chooseToDrain(
+      AdapterRef newAdapter,
       ToDoubleFunction<AdapterRef> demand,
       ToDoubleFunction<AdapterRef> busyMillis,
       long now) {
-    return leavers(newcomer, demand, now)
-        .min(Comparator.comparingDouble(busyMillis).thenComparing(byWorth(now)));
+    return evictionCandidates(newAdapter, demand, now)
+        .min(Comparator.comparingDouble(busyMillis).thenComparing(byValue(now)));
   }
 
-  private Stream<AdapterRef> leavers(
-      AdapterRef newcomer, ToDoubleFunction<AdapterRef> demand, long now) {
-    double wanted = demand.applyAsDouble(newcomer);
+  private Stream<AdapterRef> evictionCandidates(
+      AdapterRef newAdapter, ToDoubleFunction<AdapterRef> demand, long now) {
+    double wanted = demand.applyAsDouble(newAdapter);
     return residentSince.keySet().stream()
-        .filter(adapter -> stayEnds(adapter) <= now)
+        .filter(adapter -> minimumStayEndMillis(adapter) <= now)
         .filter(adapter -> demand.applyAsDouble(adapter) <= wanted);
   }
 
@@ -163,19 +167,19 @@
     endLoad(adapter);
   }
 
-  /** Forgets what an endpoint lost by a restart, with the pins of what ran on it. */
-  void cleared() {
+  /** Clears the residents, the pins and the load in progress after a restart of the endpoint. */
+  void clear() {
     residentSince.clear();
     pins.clear();
     loading = Optional.empty();
   }
 
   /**
-   * Replaces the residents by what the endpoint says. The adapter that an order under way unloads
-   * is left out: the endpoint may name it for a moment longer, and a request started on it would
-   * find it gone.
+   * Replaces the residents by those that the endpoint reports. The adapter that a load in progress
+   * evicts is left out: the endpoint may still report it for a moment, but a request started on it
+   * would find it unloaded.
    */
-  void observed(Set<AdapterRef> held, long now) {
+  void replaceResidents(Set<AdapterRef> held, long now) {
     Set<AdapterRef> kept = new HashSet<>(held);
     loading.flatMap(LoadInFlight::evicted).ifPresent(kept::remove);
     residentSince.keySet().retainAll(kept);
@@ -187,22 +191,22 @@
     loading = loading.filter(order -> !order.adapter().equals(adapter));
   }
 
-  private long stayEnds(AdapterRef adapter) {
+  private long minimumStayEndMillis(AdapterRef adapter) {
     if (!settings.uses(Mechanism.MINIMUM_STAY)) {
       return Long.MIN_VALUE;
     }
     return residentSince.get(adapter) + settings.minimumStayMillis();
   }
 
-  private long nextStayEnd(long now) {
+  private long nextMinimumStayEndMillis(long now) {
     return residentSince.keySet().stream()
-        .mapToLong(this::stayEnds)
+        .mapToLong(this::minimumStayEndMillis)
         .filter(end -> end > now)
         .min()
         .orElse(Long.MAX_VALUE);
   }
 
-  private Comparator<AdapterRef> byWorth(long now) {
+  private Comparator<AdapterRef> byValue(long now) {
     Comparator<AdapterRef> byLastUse =
         Comparator.comparingLong(adapter -> lastUse.getOrDefault(adapter, Long.MIN_VALUE));
     if (!settings.uses(Mechanism.FREQUENCY_EVICTION)) {
@@ -217,14 +221,14 @@
     return count == null ? 0 : count.at(now);
   }
 
-  private void forgetLeastFrequent(long now) {
-    if (frequency.size() < REMEMBERED) {
+  private void removeLeastFrequent(long now) {
+    if (frequency.size() < MAX_REMEMBERED) {
       return;
     }
     frequency.entrySet().stream()
         .filter(entry -> !resident(entry.getKey()))
         .sorted(Comparator.comparingDouble(entry -> entry.getValue().at(now)))
-        .limit(REMEMBERED / 2)
+        .limit(MAX_REMEMBERED / 2)
         .map(Map.Entry::getKey)
         .toList()
         .forEach(
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/SchedulerSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/SchedulerSettings.java
@@ -6,17 +6,18 @@
 import org.hornbeamusher.ids.PartnerId;
 
 /**
- * Figures of one endpoint.
+ * Scheduler settings of one endpoint.
  *
- * @param slots adapters it holds at once; 0 for a plain service
- * @param batch requests it runs at once
- * @param queueLimit most requests that wait here in all
- * @param minimumStayMillis how long a loaded adapter is kept at least
- * @param tokensPerSecond what the endpoint generates for one request
+ * @param slots maximum number of resident adapters; 0 for a service without adapters
+ * @param batch maximum number of running requests
+ * @param queueLimit maximum number of queued requests in total
+ * @param minimumStayMillis how long a loaded adapter stays resident at least
+ * @param tokensPerSecond generation rate of the endpoint for one request
  * @param loadMillis expected time of one load
- * @param permits whether loads wait for {@link AgentScheduler#permitGranted}
- * @param partnerShares each partner's guaranteed part of the endpoint; 1 for those not named
- * @param mechanisms what is switched on
+ * @param permitsRequired whether loads wait for {@link AgentScheduler#permitGranted}
+ * @param partnerShares weight of each partner's guaranteed share of the endpoint; 1 for a partner
+ *     not listed
+ * @param mechanisms the features that are switched on
  */
 public record SchedulerSettings(
     int slots,
@@ -25,7 +26,7 @@
     long minimumStayMillis,
     double tokensPerSecond,
     long loadMillis,
-    boolean permits,
+    boolean permitsRequired,
     Map<PartnerId, Integer> partnerShares,
     Set<Mechanism> mechanisms) {
 
@@ -36,16 +37,17 @@
   }
 
   /**
-   * Creates settings with every mechanism switched on.
+   * Creates settings with every feature switched on.
    *
-   * @param slots adapters it holds at once; 0 for a plain service
-   * @param batch requests it runs at once
-   * @param queueLimit most requests that wait here in all
-   * @param minimumStayMillis how long a loaded adapter is kept at least
-   * @param tokensPerSecond what the endpoint generates for one request
+   * @param slots maximum number of resident adapters; 0 for a service without adapters
+   * @param batch maximum number of running requests
+   * @param queueLimit maximum number of queued requests in total
+   * @param minimumStayMillis how long a loaded adapter stays resident at least
+   * @param tokensPerSecond generation rate of the endpoint for one request
    * @param loadMillis expected time of one load
-   * @param permits whether loads wait for {@link AgentScheduler#permitGranted}
-   * @param partnerShares each partner's guaranteed part of the endpoint
+   * @param permitsRequired whether loads wait for {@link AgentScheduler#permitGranted}
+   * @param partnerShares weight of each partner's guaranteed share of the endpoint; 1 for a partner
+   *     not listed
    */
   public SchedulerSettings(
       int slots,
@@ -54,7 +56,7 @@
       long minimumStayMillis,
       double tokensPerSecond,
       long loadMillis,
-      boolean permits,
+      boolean permitsRequired,
       Map<PartnerId, Integer> partnerShares) {
     this(
         slots,
@@ -63,15 +65,15 @@
         minimumStayMillis,
         tokensPerSecond,
         loadMillis,
-        permits,
+        permitsRequired,
         partnerShares,
         EnumSet.allOf(Mechanism.class));
   }
 
   /**
-   * Returns these settings with one mechanism switched off.
+   * Returns these settings with one feature switched off.
    *
-   * @param mechanism what is left out
+   * @param mechanism the feature to switch off
    * @return a copy
    */
   public SchedulerSettings without(Mechanism mechanism) {
@@ -85,15 +87,15 @@
         minimumStayMillis,
         tokensPerSecond,
         loadMillis,
-        permits,
+        permitsRequired,
         partnerShares,
         rest);
   }
 
   /**
-   * Tells whether a mechanism is switched on.
+   * Returns whether a feature is switched on.
    *
-   * @param mechanism the mechanism
+   * @param mechanism the feature
    * @return whether it is on
    */
   public boolean uses(Mechanism mechanism) {
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/ShareClass.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/ShareClass.java
@@ -4,18 +4,18 @@
 import org.hornbeamusher.ids.PartnerId;
 import org.hornbeamusher.ids.ServiceName;
 
-/** Who a share belongs to, at one level of the hierarchy. */
+/** The owner of a share at one level of the share hierarchy. */
 sealed interface ShareClass {
 
-  /** The whole endpoint. */
+  /** The root: the whole endpoint. */
   record Endpoint() implements ShareClass {}
 
-  /** The first level. */
+  /** First level. */
   record Partner(PartnerId id) implements ShareClass {}
 
-  /** The second level. */
+  /** Second level. */
   record Service(ServiceName name) implements ShareClass {}
 
-  /** The third level. */
+  /** Third level. */
   record Caller(CallerId id) implements ShareClass {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/ShareNode.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/ShareNode.java
@@ -13,9 +13,9 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * One class of the share hierarchy: the endpoint, a partner, a service or a caller.
+ * A node of the share hierarchy: the endpoint, a partner, a service or a caller.
  *
- * <p>A node keeps the start tag by which its parent orders it, and the virtual time of its own
+ * <p>A node holds the start tag by which its parent orders it, and the virtual time of its own
  * children. Only a caller's node holds requests.
  */
 final class ShareNode {
@@ -23,19 +23,19 @@
   final ShareClass shareClass;
   final Optional<ShareNode> parent;
 
-  /** Part of the parent's share, relative to the siblings that are active. */
+  /** Weight within the parent's share, relative to the active siblings. */
   private int weight;
 
-  /** Work started so far over weight, lifted to the parent's virtual time after idleness. */
+  /** Work started so far divided by weight; raised to the parent's virtual time after idleness. */
   private double startTag;
 
-  /** The least start tag of a child that waited when one was served; never falls. */
+  /** Lowest start tag of the children with queued requests when one was served; never decreases. */
   private double virtualTime;
 
   private int running;
   private int waiting;
   private final Map<ShareClass, ShareNode> children = new LinkedHashMap<>();
-  private final TreeSet<Waiting> requests = new TreeSet<>(Waiting.ORDER);
+  private final TreeSet<ScheduledRequest> requests = new TreeSet<>(ScheduledRequest.ORDER);
 
   ShareNode(ShareClass shareClass, Optional<ShareNode> parent, int weight) {
     this.shareClass = shareClass;
@@ -44,7 +44,7 @@
     this.startTag = parent.map(node -> node.virtualTime).orElse(0.0);
   }
 
-  /** Finds or creates a child; the weight in force is the one that came last. */
+  /** Finds or creates a child; the latest weight applies. */
   ShareNode child(ShareClass childClass, int childWeight) {
     ShareNode child =
         children.computeIfAbsent(
@@ -65,23 +65,25 @@
     return running;
   }
 
-  /** Returns the requests that wait below, over the weight. */
-  double waitingOverWeight(int more) {
-    return (double) (waiting + more) / weight;
+  /**
+   * Returns the number of queued requests below, plus {@code additional}, divided by the weight.
+   */
+  double queuedPerWeight(int additional) {
+    return (double) (waiting + additional) / weight;
   }
 
-  Collection<Waiting> requests() {
+  Collection<ScheduledRequest> requests() {
     return requests;
   }
 
-  /** Returns the requests that wait in this class and below. */
-  List<Waiting> allRequests() {
-    List<Waiting> all = new ArrayList<>(requests);
+  /** Returns the queued requests of this node and all nodes below. */
+  List<ScheduledRequest> allRequests() {
+    List<ScheduledRequest> all = new ArrayList<>(requests);
     children.values().forEach(child -> all.addAll(child.allRequests()));
     return all;
   }
 
-  /** Returns this node's part of its parent among the siblings that are active. */
+  /** Returns this node's fraction of its parent's share among the active siblings. */
   double fraction() {
     if (parent.isEmpty()) {
       return 1;
@@ -93,12 +95,12 @@
     return (double) weight / (weight + siblings);
   }
 
-  void add(Waiting request) {
+  void add(ScheduledRequest request) {
     requests.add(request);
     forEachUpwards(node -> node.waiting++);
   }
 
-  boolean remove(Waiting request) {
+  boolean remove(ScheduledRequest request) {
     if (!requests.remove(request)) {
       return false;
     }
@@ -107,7 +109,7 @@
   }
 
   /** Moves a request from waiting to running and charges its cost on every level. */
-  void start(Waiting request, double cost) {
+  void start(ScheduledRequest request, double cost) {
     remove(request);
     forEachUpwards(
         node -> {
@@ -116,7 +118,7 @@
         });
   }
 
-  /** Ends a request and corrects its charge: what it took less what it was expected to take. */
+  /** Ends a request and corrects its charge by the actual minus the expected cost. */
   void end(double costCorrection) {
     forEachUpwards(
         node -> {
@@ -126,19 +128,19 @@
   }
 
   /**
-   * Chooses the request that starts next.
+   * Chooses the request to start next.
    *
-   * @param startable what may start now
-   * @param places batch places that belong to this node; 0 switches the guarantee off
+   * @param startable which requests may start now
+   * @param guaranteedSlots batch slots guaranteed to this node; 0 switches the guarantee off
    */
-  Optional<Waiting> next(Predicate<Waiting> startable, double places) {
+  Optional<ScheduledRequest> next(Predicate<ScheduledRequest> startable, double guaranteedSlots) {
     if (children.isEmpty()) {
       return requests.stream().filter(startable).findFirst();
     }
-    forgetIdle();
-    List<Candidate> candidates = candidates(places);
+    removeIdle();
+    List<Candidate> candidates = candidates(guaranteedSlots);
     for (Candidate candidate : candidates) {
-      Optional<Waiting> found = candidate.node.next(startable, candidate.places);
+      Optional<ScheduledRequest> found = candidate.node.next(startable, candidate.guaranteedSlots);
       if (found.isPresent()) {
         advanceVirtualTime(candidates);
         return found;
@@ -148,29 +150,29 @@
     return Optional.empty();
   }
 
-  /** Returns the child for which a measure is greatest. */
+  /** Returns the child with the greatest value of a measure. */
   Optional<ShareNode> greatestChild(ToDoubleFunction<ShareNode> measure) {
     return children.values().stream().max(Comparator.comparingDouble(measure));
   }
 
-  private record Candidate(ShareNode node, double places) {
+  private record Candidate(ShareNode node, double guaranteedSlots) {
 
-    boolean belowWholePlaces() {
-      return node.running + 1 <= Math.floor(places + ROUNDING);
+    boolean belowGuaranteedSlots() {
+      return node.running + 1 <= Math.floor(guaranteedSlots + ROUNDING_TOLERANCE);
     }
 
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
   }
 
-  private List<Candidate> candidates(double places) {
+  private List<Candidate> candidates(double guaranteedSlots) {
     List<Candidate> candidates = new ArrayList<>();
     for (ShareNode child : children.values()) {
       if (child.waiting > 0) {
-        candidates.add(new Candidate(child, places * child.fraction()));
+        candidates.add(new Candidate(child, guaranteedSlots * child.fraction()));
       }
     }
     candidates.sort(
-        Comparator.<Candidate, Boolean>comparing(candidate -> !candidate.belowWholePlaces())
+        Comparator.<Candidate, Boolean>comparing(candidate -> !candidate.belowGuaranteedSlots())
             .thenComparingDouble(candidate -> candidate.node.startTag));
     return candidates;
   }
@@ -182,7 +184,7 @@
         .ifPresent(least -> virtualTime = Math.max(virtualTime, least));
   }
 
-  private void forgetIdle() {
+  private void removeIdle() {
     children.values().removeIf(child -> !child.active() && child.startTag <= virtualTime);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/WaitEstimate.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/WaitEstimate.java
@@ -6,54 +6,57 @@
 import org.hornbeamusher.ids.PartnerId;
 
 /**
- * Expects how long a request waits for a batch place and for its adapter.
+ * Estimates how long a request waits for a batch slot and for its adapter.
  *
- * <p><b>The place.</b> While a place is free the wait is 0. Otherwise it is the time until the
- * first running request ends (one of its own partner's, when that fills its places), and then the
- * startable work of the request's own caller over that caller's part of the speed, or that of its
- * service or partner over theirs, whichever is least. So a small caller is let in while another's
- * backlog is minutes long. All work that waits over the whole speed is no bound: while another
- * partner floods the endpoint its new requests come before those of a partner at its share.
+ * <p><b>Batch slot.</b> While a slot is free the wait is 0. Otherwise it is the sum of two times.
+ * The first is the time until a running request ends (one of the request's own partner, if that
+ * partner already uses its share of the slots). The second is the startable work queued for the
+ * request's caller divided by that caller's share of the speed, or that of its service or partner
+ * divided by theirs, whichever is least. So a caller with few requests is admitted while another's
+ * backlog is minutes long. Dividing all queued work by the whole speed gives no valid upper limit:
+ * while another partner floods the endpoint, its new requests are served before those of a partner
+ * that already uses its share.
  *
- * <p><b>The load.</b> The loads that are ahead, each at the pace measured here, and its own. With
- * none ahead only the load itself counts: were the measured pace counted as well, a slow hour of
- * the store would have every request refused, no load tried, and the pace never measured again.
+ * <p><b>Load.</b> The loads ahead, each at the measured pace, plus the request's own. With none
+ * ahead only the load time itself counts: if the measured pace were added as well, a slow period of
+ * the weight store would cause every request to be refused, no load would be attempted, and the
+ * pace would never be measured again.
  */
 final class WaitEstimate {
 
   private final SchedulerSettings settings;
   private final FairQueue queue;
   private final Residency residency;
-  private final WorkEstimate work;
+  private final RunTimeEstimate runTimeEstimate;
   private final LoadDemand demand;
   private final LoadPace pace;
-  private final Collection<Waiting> running;
+  private final Collection<ScheduledRequest> running;
 
   WaitEstimate(
       SchedulerSettings settings,
       FairQueue queue,
       Residency residency,
-      WorkEstimate work,
+      RunTimeEstimate runTimeEstimate,
       LoadDemand demand,
       LoadPace pace,
-      Collection<Waiting> running) {
+      Collection<ScheduledRequest> running) {
     this.settings = settings;
     this.queue = queue;
     this.residency = residency;
-    this.work = work;
+    this.runTimeEstimate = runTimeEstimate;
     this.demand = demand;
     this.pace = pace;
     this.running = running;
   }
 
-  /** Returns the wait of a request that is not in the queue yet, place and load together. */
+  /** Returns the wait of a request that is not queued yet, for batch slot and load together. */
   double waitMillis(QueuedRequest request, long now) {
     double load = request.adapter().map(ref -> loadWaitMillis(ref, now)).orElse(0.0);
-    return Math.max(load, placeWaitMillis(request, now));
+    return Math.max(load, slotWaitMillis(request, now));
   }
 
-  /** Returns the least time until a request's adapter can be there. */
-  double leastLoadMillis(AdapterRef adapter, long now) {
+  /** Returns the minimum time until an adapter can be resident. */
+  double minLoadMillis(AdapterRef adapter, long now) {
     if (residency.resident(adapter)) {
       return 0;
     }
@@ -64,27 +67,27 @@
         .orElse((double) settings.loadMillis());
   }
 
-  /** Returns the wait for a batch place of a request whose caller has nothing waiting. */
-  double newcomerPlaceWaitMillis(long now) {
-    return batchFull() ? firstPlaceMillis(now) + allWork() : 0;
+  /** Returns the wait for a batch slot of a request whose caller has no other queued requests. */
+  double newCallerSlotWaitMillis(long now) {
+    return batchFull() ? firstFreeSlotMillis(now) + totalStartableMillis() : 0;
   }
 
-  /** Returns the wait for the load of an adapter that nobody waits for yet. */
-  double newcomerLoadWaitMillis() {
-    return loadsAhead() * pace.turnMillis() + settings.loadMillis();
+  /** Returns the wait for the load of an adapter that no request waits for yet. */
+  double newAdapterLoadWaitMillis() {
+    return loadsAhead() * pace.intervalMillis() + settings.loadMillis();
   }
 
   private double loadWaitMillis(AdapterRef adapter, long now) {
-    double least = leastLoadMillis(adapter, now);
+    double least = minLoadMillis(adapter, now);
     boolean counted = least == 0 || !demand.waitingFor(adapter).isEmpty();
-    return counted ? least : loadsAhead() * pace.turnMillis() + least;
+    return counted ? least : loadsAhead() * pace.intervalMillis() + least;
   }
 
   private long loadsAhead() {
     return demand.count(adapter -> !residency.resident(adapter));
   }
 
-  private double placeWaitMillis(QueuedRequest request, long now) {
+  private double slotWaitMillis(QueuedRequest request, long now) {
     if (!batchFull()) {
       return 0;
     }
@@ -95,31 +98,31 @@
       fraction *= node.fraction();
       bound = Math.min(bound, startableMillis(node) / fraction);
     }
-    return ownPlaceMillis(path.getFirst(), request.partner(), now) + bound;
+    return partnerSlotWaitMillis(path.getFirst(), request.partner(), now) + bound;
   }
 
-  /** A partner that already fills its places waits for one of its own to become free. */
-  private double ownPlaceMillis(ShareNode top, PartnerId partner, long now) {
+  /** A partner that already uses its share of the slots waits for one of its own to become free. */
+  private double partnerSlotWaitMillis(ShareNode top, PartnerId partner, long now) {
     if (top.running() < Math.floor(settings.batch() * top.fraction())) {
-      return firstPlaceMillis(now);
+      return firstFreeSlotMillis(now);
     }
     return running.stream()
         .filter(one -> one.request.partner().equals(partner))
-        .mapToDouble(one -> leftMillis(one, now))
+        .mapToDouble(one -> remainingMillis(one, now))
         .min()
-        .orElseGet(() -> firstPlaceMillis(now));
+        .orElseGet(() -> firstFreeSlotMillis(now));
   }
 
-  private double allWork() {
+  private double totalStartableMillis() {
     return startableMillis(queue.root());
   }
 
-  /** Returns the time in which the whole endpoint would do what waits below a class. */
+  /** Returns the time in which the whole endpoint would run the startable requests of a class. */
   private double startableMillis(ShareNode node) {
     double sum = 0;
-    for (Waiting waiting : node.allRequests()) {
-      if (!waiting.missesAdapter()) {
-        sum += work.runMillis(waiting.request.costTokens());
+    for (ScheduledRequest waiting : node.allRequests()) {
+      if (!waiting.awaitsAdapter()) {
+        sum += runTimeEstimate.runMillis(waiting.request.costTokens());
       }
     }
     return sum / settings.batch();
@@ -129,13 +132,13 @@
   double busyMillis(AdapterRef adapter, long now) {
     return running.stream()
         .filter(one -> one.request.adapter().filter(adapter::equals).isPresent())
-        .mapToDouble(one -> leftMillis(one, now))
+        .mapToDouble(one -> remainingMillis(one, now))
         .max()
         .orElse(0);
   }
 
-  private double leftMillis(Waiting one, long now) {
-    double end = one.startedMillis() + work.runMillis(one.request.costTokens());
+  private double remainingMillis(ScheduledRequest one, long now) {
+    double end = one.startedMillis() + runTimeEstimate.runMillis(one.request.costTokens());
     return Math.max(0, end - now);
   }
 
@@ -143,7 +146,7 @@
     return running.size() >= settings.batch();
   }
 
-  private double firstPlaceMillis(long now) {
-    return running.stream().mapToDouble(one -> leftMillis(one, now)).min().orElse(0);
+  private double firstFreeSlotMillis(long now) {
+    return running.stream().mapToDouble(one -> remainingMillis(one, now)).min().orElse(0);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/package-info.java
@@ -1,2 +1,5 @@
-/** Decides on an endpoint what is loaded, evicted, started and refused. No network, no threads. */
+/**
+ * Scheduling of one endpoint: which requests are started or refused and which adapters are loaded
+ * or evicted. Pure decision logic without network access or threads.
+ */
 package org.hornbeamusher.scheduling;
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerLoadPatternsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerLoadPatternsTest.java
@@ -10,7 +10,7 @@
 import org.hornbeamusher.ids.PartnerId;
 import org.junit.jupiter.api.Test;
 
-/** Patterns of load at one endpoint, judged by what the callers receive. */
+/** Load patterns at one endpoint, judged by the outcomes of the callers' requests. */
 class AgentSchedulerLoadPatternsTest {
 
   private static final Map<PartnerId, Integer> EQUAL =
@@ -35,14 +35,12 @@
         .orElse(0);
   }
 
-  /**
-   * A hundred salespeople ask for one cold adapter in the same second: one load serves them all.
-   */
+  /** A hundred requests for one cold adapter arrive within a second: one load serves them all. */
   @Test
   void burstForOneAdapterSharesOneLoad() {
     FakeEndpoint endpoint = new FakeEndpoint(settings(4, 8));
     for (int i = 0; i < 100; i++) {
-      endpoint.submitAt(i * 10, Requests.valuer().from("yard" + i % 7));
+      endpoint.submitAt(i * 10, RequestBuilder.valuer().withCaller("yard" + i % 7));
     }
     endpoint.runUntil(20_000);
     assertEquals(1, endpoint.loads.size());
@@ -50,33 +48,33 @@
   }
 
   /**
-   * One caller sends ten times what the endpoint can do. Another sends a tenth of it. Served by
-   * arrival the second waits behind the first one's backlog and most of its answers are too late;
-   * with shares all of them are in time.
+   * One caller sends ten times the endpoint's capacity, another a tenth of it. Served in order of
+   * arrival, the second waits behind the backlog of the first and most of its responses are late;
+   * with fair shares all of them are in time.
    */
   @Test
-  void hotCallerDelaysNobodyElse() {
+  void hotCallerDoesNotDelayOthers() {
     assertEquals(100, quietCallerInTime(settings(2, 4)));
     assertTrue(quietCallerInTime(settings(2, 4).without(Mechanism.FAIR_SHARES)) < 50);
   }
 
   private static long quietCallerInTime(SchedulerSettings settings) {
     FakeEndpoint endpoint = new FakeEndpoint(settings);
-    endpoint.every(3, 0, 25_000, Requests.valuer().from("hot").within(2_000));
-    endpoint.every(250, 0, 25_000, Requests.valuer().from("quiet").within(1_000));
+    endpoint.every(3, 0, 25_000, RequestBuilder.valuer().withCaller("hot").withDeadline(2_000));
+    endpoint.every(250, 0, 25_000, RequestBuilder.valuer().withCaller("quiet").withDeadline(1_000));
     endpoint.runUntil(30_000);
     return endpoint.inTime(caller("quiet"));
   }
 
   /**
-   * Zarqa sends twenty times what the endpoint can do, Tawhiti three quarters of its half. Every
-   * Tawhiti request is answered in time, and Zarqa gets all that is left.
+   * Zarqa sends twenty times the endpoint's capacity, Tawhiti three quarters of its half share.
+   * Every Tawhiti request is answered in time, and Zarqa gets the remaining capacity.
    */
   @Test
-  void partnerFloodingTheOtherTakesNothingFromIt() {
+  void floodingPartnerDoesNotReduceOtherPartnersShare() {
     FakeEndpoint endpoint = new FakeEndpoint(settings(4, 8));
-    endpoint.every(1, 0, 20_000, Requests.dispatch().costing(250).within(3_000));
-    endpoint.every(83, 0, 20_000, Requests.valuer().costing(250).within(3_000));
+    endpoint.every(1, 0, 20_000, RequestBuilder.dispatch().withCost(250).withDeadline(3_000));
+    endpoint.every(83, 0, 20_000, RequestBuilder.valuer().withCost(250).withDeadline(3_000));
     endpoint.runUntil(25_000);
     long tawhiti = endpoint.inTime(partner("tawhiti"));
     long zarqa = endpoint.inTime(partner("zarqa"));
@@ -85,29 +83,29 @@
   }
 
   /**
-   * Overnight batches hold every batch place when Tawhiti's yard opens. From the next free place on
-   * the yard gets each one until it has its half; going by shares of work alone it takes twice as
-   * many.
+   * Overnight requests of Zarqa occupy every batch slot when Tawhiti's requests arrive. Tawhiti
+   * gets each slot that becomes free until it has its half; by shares of work alone it would get
+   * only every other one.
    */
   @Test
-  void lentPlacesAreTakenBackAtOnce() {
-    assertEquals(8, placesTakenBack(settings(4, 16)));
-    assertEquals(4, placesTakenBack(settings(4, 16).without(Mechanism.GUARANTEED_PLACES)));
+  void returningPartnerGetsItsGuaranteedSlotsFirst() {
+    assertEquals(8, slotsOfReturningPartner(settings(4, 16)));
+    assertEquals(4, slotsOfReturningPartner(settings(4, 16).without(Mechanism.GUARANTEED_PLACES)));
   }
 
-  /** Returns how many of the first eight places that become free go to the returning partner. */
-  private static int placesTakenBack(SchedulerSettings settings) {
+  /** Returns how many of the first eight slots that become free go to the returning partner. */
+  private static int slotsOfReturningPartner(SchedulerSettings settings) {
     FakeEndpoint endpoint = new FakeEndpoint(settings);
-    endpoint.submit(Requests.valuer());
-    endpoint.submit(Requests.dispatch());
+    endpoint.submit(RequestBuilder.valuer());
+    endpoint.submit(RequestBuilder.dispatch());
     for (int i = 0; i < 100; i++) {
-      endpoint.submitAt(2_000 + 60 * i, Requests.dispatch().costing(1_600));
+      endpoint.submitAt(2_000 + 60 * i, RequestBuilder.dispatch().withCost(1_600));
     }
     endpoint.schedule(
         5_000,
         () -> {
           for (int i = 0; i < 40; i++) {
-            endpoint.submit(Requests.valuer().costing(1_600));
+            endpoint.submit(RequestBuilder.valuer().withCost(1_600));
           }
         });
     endpoint.runUntil(30_000);
@@ -121,17 +119,19 @@
   }
 
   /**
-   * Every tenth request is twenty times as long as the others and together they fill the endpoint
-   * to nine tenths. By arrival a short one waits for long ones to end; here it waits less than a
-   * third of that and the long ones are answered in time all the same.
+   * Every tenth request is twenty times as long as the others, and the total load is nine tenths of
+   * the capacity. In order of arrival short requests wait for long ones to end; with the scheduler
+   * they wait less than a third of that, and the long ones are still answered in time.
    */
   @Test
   void longRequestsDoNotBlockShortOnes() {
     SchedulerSettings plain =
         settings(2, 8).without(Mechanism.LONG_LIMIT).without(Mechanism.SHORT_FIRST);
-    double ours = shortWait(settings(2, 8));
+    double scheduled = shortWait(settings(2, 8));
     double byArrival = shortWait(plain);
-    assertTrue(ours < byArrival / 3, "mean wait of short " + ours + ", by arrival " + byArrival);
+    assertTrue(
+        scheduled < byArrival / 3,
+        "mean wait of short requests " + scheduled + ", in order of arrival " + byArrival);
   }
 
   private static double shortWait(SchedulerSettings settings) {
@@ -141,27 +141,29 @@
     while (at < 120_000) {
       at += -Math.log(1 - random.nextDouble()) * 40;
       boolean isLong = random.nextInt(10) == 0;
-      endpoint.submitAt((long) at, Requests.valuer().costing(isLong ? 2_000 : 100).within(60_000));
+      endpoint.submitAt(
+          (long) at, RequestBuilder.valuer().withCost(isLong ? 2_000 : 100).withDeadline(60_000));
     }
-    endpoint.submit(Requests.valuer());
+    endpoint.submit(RequestBuilder.valuer());
     endpoint.runUntil(200_000);
     assertEquals(endpoint.results.size(), endpoint.inTime(request -> true));
     return meanWait(endpoint.results(request -> request.costTokens() == 100));
   }
 
   /**
-   * Twice and ten times as much arrives as can be served, every request worth answering for three
-   * seconds. Nine tenths of what the endpoint can do is answered in time, every refusal comes
-   * before the deadline with a time to come back, and nothing that was started is too late. Without
-   * early refusal most places go to answers that come too late.
+   * Overload of two and ten times the capacity, with deadlines of three seconds. Requests worth at
+   * least nine tenths of the capacity are answered in time, every refusal comes before the deadline
+   * with a retry time, and no started request is late. Without early refusal most batch slots go to
+   * responses that are late.
    */
   @Test
-  void overload() {
+  void overloadAnswersNearCapacityInTime() {
     for (int times : List.of(2, 10)) {
       FakeEndpoint endpoint = overloaded(settings(2, 8), times);
       double ideal = 20_000.0 * 8 / 500;
       long inTime = endpoint.inTime(request -> true);
-      assertTrue(inTime >= 0.9 * ideal, times + " times: " + inTime + " of " + ideal);
+      assertTrue(
+          inTime >= 0.9 * ideal, times + " times the capacity: " + inTime + " in time of " + ideal);
       endpoint.results.values().forEach(AgentSchedulerLoadPatternsTest::assertRefusedOrInTime);
       FakeEndpoint late = overloaded(settings(2, 8).without(Mechanism.EARLY_REFUSAL), times);
       assertTrue(late.inTime(request -> true) < 0.6 * ideal);
@@ -175,7 +177,11 @@
     while (at < 20_000) {
       at += -Math.log(1 - random.nextDouble()) * 500 / 8 / times;
       endpoint.submitAt(
-          (long) at, Requests.valuer().from("yard" + random.nextInt(5)).costing(500).within(3_000));
+          (long) at,
+          RequestBuilder.valuer()
+              .withCaller("yard" + random.nextInt(5))
+              .withCost(500)
+              .withDeadline(3_000));
     }
     endpoint.runUntil(30_000);
     return endpoint;
@@ -191,27 +197,30 @@
   }
 
   /**
-   * One hot adapter among a tail of rare ones on three slots. Going by last use the hot one is
-   * evicted whenever three rare ones came in its pauses; going by frequency it stays.
+   * One hot adapter and a tail of rarely used ones share three slots. With least recently used
+   * eviction the hot one is evicted whenever three others were requested during its pauses; with
+   * eviction by frequency it stays.
    */
   @Test
-  void hotAdapterOutlivesTheTail() {
-    long ours = hotLoads(settings(3, 8));
+  void hotAdapterStaysResidentAmongRareOnes() {
+    long byFrequency = hotLoads(settings(3, 8));
     long byLastUse = hotLoads(settings(3, 8).without(Mechanism.FREQUENCY_EVICTION));
-    assertEquals(1, ours);
+    assertEquals(1, byFrequency);
     assertTrue(byLastUse >= 5, "loads of the hot adapter " + byLastUse);
   }
 
   private static long hotLoads(SchedulerSettings settings) {
     FakeEndpoint endpoint = new FakeEndpoint(settings);
     for (int i = 0; i < 60; i++) {
-      // The hot adapter is called in bursts with pauses of several seconds.
+      // The hot adapter is requested in bursts with pauses of several seconds.
       for (int call = 0; call < 6; call++) {
-        endpoint.submitAt(i * 6_000 + call * 100, Requests.valuer().on("valuer/hot@1"));
+        endpoint.submitAt(
+            i * 6_000 + call * 100, RequestBuilder.valuer().withAdapter("valuer/hot@1"));
       }
       for (int rare = 0; rare < 4; rare++) {
         endpoint.submitAt(
-            i * 6_000 + 1_200 + rare * 1_100, Requests.valuer().on("valuer/r" + i + rare + "@1"));
+            i * 6_000 + 1_200 + rare * 1_100,
+            RequestBuilder.valuer().withAdapter("valuer/r" + i + rare + "@1"));
       }
     }
     endpoint.runUntil(400_000);
@@ -219,16 +228,20 @@
   }
 
   /**
-   * The adapters that were hot fall silent and as many cold ones become hot. The new ones need a
-   * load each, one after the other; once these are done nobody waits for a load any more.
+   * The hot adapters are no longer requested and as many cold ones become hot. The new ones need
+   * one load each, one after the other; after that no request waits for a load.
    */
   @Test
-  void popularityFlip() {
+  void popularityShiftNeedsOneLoadPerNewAdapter() {
     FakeEndpoint endpoint = new FakeEndpoint(settings(4, 8));
     for (int adapter = 0; adapter < 4; adapter++) {
-      endpoint.every(200, adapter, 60_000, Requests.valuer().on("valuer/old" + adapter + "@1"));
       endpoint.every(
-          200, 60_000 + adapter, 90_000, Requests.valuer().on("valuer/new" + adapter + "@1"));
+          200, adapter, 60_000, RequestBuilder.valuer().withAdapter("valuer/old" + adapter + "@1"));
+      endpoint.every(
+          200,
+          60_000 + adapter,
+          90_000,
+          RequestBuilder.valuer().withAdapter("valuer/new" + adapter + "@1"));
     }
     endpoint.runUntil(100_000);
     assertEquals(8, endpoint.loads.size());
@@ -242,9 +255,9 @@
   }
 
   /**
-   * The engine restarts in full work and holds nothing. The most wanted adapter is loaded first,
-   * one load at a time, and what waited is answered; nobody is told of the restart but those whose
-   * request was running.
+   * The engine restarts under full load and loses all adapters. They are loaded again one at a
+   * time, highest demand first, and the queued requests are answered; only the requests that were
+   * running are lost.
    */
   @Test
   void restartRewarmsByDemand() {
@@ -252,7 +265,11 @@
     long[] running = new long[1];
     int[] gaps = {400, 50, 200, 100};
     for (int adapter = 0; adapter < 4; adapter++) {
-      endpoint.every(gaps[adapter], 0, 20_000, Requests.valuer().on("valuer/a" + adapter + "@1"));
+      endpoint.every(
+          gaps[adapter],
+          0,
+          20_000,
+          RequestBuilder.valuer().withAdapter("valuer/a" + adapter + "@1"));
     }
     endpoint.schedule(
         10_030,
@@ -271,16 +288,24 @@
   }
 
   /**
-   * An adapter's weights are broken. Its callers are told after two tries and not at their
-   * deadline, with the time after which a load is tried again; those who ask before that are told
-   * at once. The callers of other adapters notice nothing.
+   * An adapter's weights are broken. Its requests are refused after two failed loads rather than at
+   * their deadline, with the time until the next attempt; requests that arrive before that are
+   * refused at once. Requests for other adapters are not affected.
    */
   @Test
-  void failingLoads() {
+  void requestsForBrokenAdapterAreRefusedEarly() {
     FakeEndpoint endpoint = new FakeEndpoint(settings(4, 8));
     endpoint.failing = ref -> ref.adapter().value().equals("broken");
-    endpoint.every(300, 0, 30_000, Requests.valuer().on("valuer/broken@1").within(20_000));
-    endpoint.every(300, 1_000, 30_000, Requests.valuer().on("valuer/good@1").within(2_000));
+    endpoint.every(
+        300,
+        0,
+        30_000,
+        RequestBuilder.valuer().withAdapter("valuer/broken@1").withDeadline(20_000));
+    endpoint.every(
+        300,
+        1_000,
+        30_000,
+        RequestBuilder.valuer().withAdapter("valuer/good@1").withDeadline(2_000));
     endpoint.runUntil(60_000);
     List<FakeEndpoint.Result> broken =
         endpoint.results(request -> request.adapter().orElseThrow().toString().contains("broken"));
@@ -298,47 +323,51 @@
   }
 
   /**
-   * Every slot holds an adapter that is in constant use. The request for another one would never
-   * find a slot; its bound follows its service's weights, so Tawhiti's valuation waits less than
-   * Zarqa's roster for the same load.
+   * Every slot holds an adapter in constant use. Without draining, a request for another adapter
+   * would never get a slot. Its maximum wait depends on its service's weights, so Tawhiti's
+   * valuation waits less than Zarqa's roster for the same load.
    */
   @Test
-  void overtakingHasBoundThatFollowsTheWeights() {
-    long valuation = stallOfNewcomer(settings(1, 4), Requests.STALLS);
-    long roster = stallOfNewcomer(settings(1, 4), Requests.BATCHES);
+  void overtakingIsLimitedByServiceWeights() {
+    long valuation = stallOfNewAdapter(settings(1, 4), RequestBuilder.STALLS);
+    long roster = stallOfNewAdapter(settings(1, 4), RequestBuilder.BATCHES);
     assertTrue(valuation < 2_500, "valuation " + valuation);
     assertTrue(roster > 3_000 && roster < 4_500, "roster " + roster);
-    long starved = stallOfNewcomer(settings(1, 4).without(Mechanism.DRAINING), Requests.STALLS);
+    long starved =
+        stallOfNewAdapter(settings(1, 4).without(Mechanism.DRAINING), RequestBuilder.STALLS);
     assertEquals(-1, starved);
   }
 
-  /** Returns how long the newcomer waited for its load, or -1 when it was refused. */
-  private static long stallOfNewcomer(
+  /** Returns how long the new request waited for its load, or -1 if it was refused. */
+  private static long stallOfNewAdapter(
       SchedulerSettings settings, org.hornbeamusher.documents.ServiceDocument.Weights weights) {
     FakeEndpoint endpoint = new FakeEndpoint(settings);
-    endpoint.every(100, 0, 30_000, Requests.valuer().costing(300));
+    endpoint.every(100, 0, 30_000, RequestBuilder.valuer().withCost(300));
     long[] ticket = new long[1];
     endpoint.schedule(
         10_000,
         () ->
             ticket[0] =
                 endpoint.submit(
-                    Requests.valuer().on("valuer/b@1").weighing(weights).within(15_000)));
+                    RequestBuilder.valuer()
+                        .withAdapter("valuer/b@1")
+                        .withWeights(weights)
+                        .withDeadline(15_000)));
     endpoint.runUntil(40_000);
     FakeEndpoint.Result result = endpoint.results.get(ticket[0]);
     return result.refused() ? -1 : result.stall();
   }
 
   /**
-   * A valuation and a roster arrive in the same moment for adapters of their own. The store can
-   * serve one first: the one whose service minds stalls more.
+   * A valuation and a roster request different adapters at the same time. The adapter of the
+   * service that gives load stalls more weight is loaded first.
    */
   @Test
   void weightsDecideWhichLoadIsFirst() {
     FakeEndpoint endpoint = new FakeEndpoint(settings(4, 8));
-    endpoint.submit(Requests.dispatch().on("dispatch/first@1"));
-    endpoint.submit(Requests.dispatch());
-    endpoint.submit(Requests.valuer());
+    endpoint.submit(RequestBuilder.dispatch().withAdapter("dispatch/first@1"));
+    endpoint.submit(RequestBuilder.dispatch());
+    endpoint.submit(RequestBuilder.valuer());
     endpoint.runUntil(3_000);
     assertEquals(
         List.of("dispatch/first@1", "valuer/a@1", "dispatch/a@1"),
@@ -346,8 +375,8 @@
   }
 
   /**
-   * New hot adapters keep coming, each with three callers, faster than the store can load. The one
-   * request for a rare adapter would wait for ever by demand alone; its demand ages.
+   * New hot adapters are requested continually, by three callers each, faster than the store can
+   * load. By demand without ageing, a single request for a rarely used adapter would wait for ever.
    */
   @Test
   void rareAdapterIsNotStarved() {
@@ -360,44 +389,52 @@
     for (int i = 0; i < 100; i++) {
       for (int each = 0; each < 3; each++) {
         endpoint.submitAt(
-            i * 400, Requests.valuer().on("valuer/h" + i + "@1").from("c" + i + each));
+            i * 400,
+            RequestBuilder.valuer().withAdapter("valuer/h" + i + "@1").withCaller("c" + i + each));
       }
     }
     long[] ticket = new long[1];
     endpoint.schedule(
         1_000,
-        () -> ticket[0] = endpoint.submit(Requests.valuer().on("valuer/rare@1").within(15_000)));
+        () ->
+            ticket[0] =
+                endpoint.submit(
+                    RequestBuilder.valuer().withAdapter("valuer/rare@1").withDeadline(15_000)));
     endpoint.runUntil(60_000);
     FakeEndpoint.Result result = endpoint.results.get(ticket[0]);
     return result.refused() ? -1 : result.stall();
   }
 
   /**
-   * A caller fills its service's queue. When another caller's request comes, the newest of the many
-   * is refused in its place, with a time to come back.
+   * A caller fills its service's queue. When a request of another caller arrives, the newest
+   * request of the first caller is refused to make room.
    */
   @Test
-  void fullQueueDropsFromWhoHoldsMost() {
+  void fullQueueDropsNewestRequestOfLargestClass() {
     FakeEndpoint endpoint = new FakeEndpoint(settings(2, 1));
-    Requests request = Requests.valuer().queueing(10);
+    RequestBuilder request = RequestBuilder.valuer().withQueueLimit(10);
     for (int i = 0; i < 10; i++) {
-      endpoint.submit(request.from("many"));
+      endpoint.submit(request.withCaller("many"));
     }
-    long other = endpoint.submit(request.from("other"));
+    long other = endpoint.submit(request.withCaller("other"));
     assertTrue(endpoint.results.get(10L).refused());
     assertEquals(null, endpoint.results.get(other));
-    long eleventh = endpoint.submit(request.from("many"));
+    long eleventh = endpoint.submit(request.withCaller("many"));
     assertTrue(endpoint.results.get(eleventh).refused());
     endpoint.runUntil(20_000);
     assertTrue(endpoint.results.get(other).inTime());
   }
 
-  /** Nobody is left who could use the load: ordering it would cost others half a second. */
+  /**
+   * The only request for the adapter cannot meet its deadline: a load would serve nobody and cost
+   * others half a second.
+   */
   @Test
-  void noLoadForRequestsThatAreLost() {
+  void noLoadForRequestsThatCannotMeetDeadline() {
     FakeEndpoint endpoint = new FakeEndpoint(settings(2, 4));
-    endpoint.submit(Requests.valuer().on("valuer/a@1"));
-    endpoint.submit(Requests.valuer().on("valuer/b@1").within(1_050).costing(100));
+    endpoint.submit(RequestBuilder.valuer().withAdapter("valuer/a@1"));
+    endpoint.submit(
+        RequestBuilder.valuer().withAdapter("valuer/b@1").withDeadline(1_050).withCost(100));
     endpoint.runUntil(5_000);
     assertEquals(1, endpoint.loads.size());
     assertTrue(endpoint.results.get(2L).refused());
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerPropertiesTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerPropertiesTest.java
@@ -14,10 +14,11 @@
 import org.hornbeamusher.ids.PartnerId;
 
 /**
- * Draws histories of arrivals, cancellations, failing loads, restarts and observations, with a
- * clock that may step back. {@link FakeEndpoint} fails the run when an adapter in use is evicted, a
- * request starts without its adapter, two loads overlap, a batch overflows or a request is answered
- * twice. A caller would see the first two as an answer from another adapter or a failed request.
+ * Random sequences of arrivals, cancellations, failing loads, restarts and residency reports, with
+ * a clock that may step back. {@link FakeEndpoint} fails the test if an adapter in use is evicted,
+ * a request starts without its adapter, two loads overlap, the batch limit is exceeded or a request
+ * is answered twice. A caller would see the first two as a response from another adapter or as a
+ * failed request.
  */
 class AgentSchedulerPropertiesTest {
 
@@ -73,14 +74,15 @@
     assertEquals(0, endpoint.runningCount());
   }
 
-  private static Requests draw(Random random) {
-    Requests base = random.nextBoolean() ? Requests.valuer() : Requests.dispatch();
+  private static RequestBuilder draw(Random random) {
+    RequestBuilder base =
+        random.nextBoolean() ? RequestBuilder.valuer() : RequestBuilder.dispatch();
     String adapter = base.service() + "/a" + random.nextInt(ADAPTERS) + "@1";
-    return base.on(random.nextInt(10) == 0 ? "" : adapter)
-        .from("caller" + random.nextInt(3))
-        .costing(1 + random.nextInt(random.nextInt(5) == 0 ? 3_000 : 300))
-        .within(random.nextInt(20_000))
-        .queueing(3 + random.nextInt(10));
+    return base.withAdapter(random.nextInt(10) == 0 ? "" : adapter)
+        .withCaller("caller" + random.nextInt(3))
+        .withCost(1 + random.nextInt(random.nextInt(5) == 0 ? 3_000 : 300))
+        .withDeadline(random.nextInt(20_000))
+        .withQueueLimit(3 + random.nextInt(10));
   }
 
   @Property(tries = 60, seed = "4208")
@@ -103,16 +105,17 @@
                 .without(Mechanism.LONG_LIMIT));
     int each = 130 * batch;
     for (int i = 0; i < each / lengthRatio + 1; i++) {
-      endpoint.submit(Requests.dispatch().costing(100 * lengthRatio).within(10_000_000));
+      endpoint.submit(
+          RequestBuilder.dispatch().withCost(100 * lengthRatio).withDeadline(10_000_000));
     }
     for (int i = 0; i < each; i++) {
-      endpoint.submit(Requests.valuer().within(10_000_000));
+      endpoint.submit(RequestBuilder.valuer().withDeadline(10_000_000));
     }
     endpoint.runUntil(12_000);
     double done = startedTokens(endpoint, "zarqa");
     double all = done + startedTokens(endpoint, "tawhiti");
     double expected = (double) zarqa / (zarqa + tawhiti);
-    // One request of each class may be over, and what runs has been charged in full.
+    // Each class may be ahead by one request, and running requests have been charged in full.
     double bound = 100.0 * lengthRatio * (batch + 2) / all + 0.02;
     assertEquals(expected, done / all, bound);
   }
@@ -126,7 +129,7 @@
   }
 
   @Property(tries = 200, seed = "4209")
-  void pinnedAdapterIsNeverChosen(@ForAll long seed) {
+  void pinnedAdapterIsNeverEvicted(@ForAll long seed) {
     Random random = new Random(seed);
     int slots = 1 + random.nextInt(4);
     Residency residency = new Residency(FakeEndpoint.settings(slots, 4));
@@ -148,7 +151,7 @@
             pins.merge(ref, -1, Integer::sum);
           }
         }
-        case 2 -> residency.requested(ref, random.nextDouble(), now);
+        case 2 -> residency.recordRequest(ref, random.nextDouble(), now);
         default -> loadInto(residency, ref, pins, slots, now);
       }
     }
@@ -160,7 +163,7 @@
     if (residency.resident(ref)) {
       return;
     }
-    switch (residency.place(ref, java.util.Optional.of(drained), other -> 0, now)) {
+    switch (residency.choosePlacement(ref, java.util.Optional.of(drained), other -> 0, now)) {
       case Placement.FreeSlot free -> residency.loadStarted(ref, java.util.Optional.empty(), now);
       case Placement.Evict evict -> {
         assertEquals(0, pins.getOrDefault(evict.victim(), 0), "pins of " + evict.victim());
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/FakeEndpoint.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/FakeEndpoint.java
@@ -11,12 +11,12 @@
 import org.hornbeamusher.ids.AdapterRef;
 
 /**
- * One endpoint behind the scheduler under test, on a clock turned by events. It checks every action
- * against what it holds and records what each request received.
+ * Simulated endpoint behind the scheduler under test, with an event-driven clock. It checks every
+ * action against its own state and records the outcome of each request.
  */
 final class FakeEndpoint {
 
-  /** What a request received. */
+  /** The outcome of a request. */
   record Result(
       QueuedRequest request, AgentAction answer, long answeredMillis, long finishedMillis) {
 
@@ -74,23 +74,23 @@
     return running.size();
   }
 
-  /** Lets a request arrive now. */
-  long submit(Requests request) {
+  /** Submits a request now. */
+  long submit(RequestBuilder request) {
     long ticket = nextTicket++;
-    QueuedRequest arriving = request.arriving(ticket, now);
+    QueuedRequest arriving = request.build(ticket, now);
     requests.put(ticket, arriving);
     scheduler.submit(arriving, now);
     poll();
     return ticket;
   }
 
-  /** Lets a request arrive later. */
-  void submitAt(long at, Requests request) {
+  /** Submits a request at a later time. */
+  void submitAt(long at, RequestBuilder request) {
     schedule(at, () -> submit(request));
   }
 
-  /** Lets requests arrive at equal distances. */
-  void every(long gap, long from, long to, Requests request) {
+  /** Submits requests at equal intervals. */
+  void every(long gap, long from, long to, RequestBuilder request) {
     for (long at = from; at < to; at += gap) {
       submitAt(at, request);
     }
@@ -103,7 +103,7 @@
   void cancel(long ticket) {
     boolean started = scheduler.cancel(ticket, now);
     if (running.contains(ticket) != started) {
-      throw new AssertionError("cancel of " + ticket + " says started=" + started);
+      throw new AssertionError("cancel of " + ticket + " returned started=" + started);
     }
     if (started) {
       end(ticket);
@@ -111,13 +111,13 @@
     poll();
   }
 
-  /** The endpoint is told to leave. */
+  /** Starts the drain of the endpoint. */
   void leave() {
     scheduler.leave(now);
     poll();
   }
 
-  /** The engine loses everything. */
+  /** Restarts the engine: running requests and loaded adapters are lost. */
   void restart() {
     generation++;
     running.clear();
@@ -128,7 +128,7 @@
     poll();
   }
 
-  /** Runs until nothing happens any more before a time. */
+  /** Advances the clock to {@code end} and runs every event that is due before it. */
   void runUntil(long end) {
     while (now < end) {
       long wake = Math.min(end, scheduler.nextPollMillis(now));
@@ -147,7 +147,7 @@
     }
   }
 
-  /** Returns the results of the requests that fulfil a condition. */
+  /** Returns the results of the requests that satisfy a condition. */
   List<Result> results(Predicate<QueuedRequest> which) {
     return results.values().stream().filter(result -> which.test(result.request)).toList();
   }
@@ -174,11 +174,13 @@
         .adapter()
         .ifPresent(
             ref -> {
-              require(resident.contains(ref), "started without its adapter: " + ref);
+              require(
+                  resident.contains(ref),
+                  "request started while its adapter was not resident: " + ref);
               inUse.merge(ref, 1, Integer::sum);
             });
     running.add(start.ticket());
-    require(running.size() <= settings.batch(), "batch exceeded");
+    require(running.size() <= settings.batch(), "batch limit exceeded");
     long run = Math.round(request.costTokens() * 1_000 / settings.tokensPerSecond());
     long startedIn = generation;
     schedule(
@@ -201,15 +203,18 @@
   }
 
   private void load(AgentAction.Load load) {
-    require(loading == null, "two loads at a time");
-    require(!resident.contains(load.adapter()), "loads what is resident");
+    require(loading == null, "load started while another was in progress");
+    require(!resident.contains(load.adapter()), "load of an adapter that is already resident");
     load.evict()
         .ifPresent(
             victim -> {
-              require(inUse.getOrDefault(victim, 0) == 0, "evicts what is in use: " + victim);
-              require(resident.remove(victim), "evicts what is not there: " + victim);
+              require(
+                  inUse.getOrDefault(victim, 0) == 0, "eviction of an adapter in use: " + victim);
+              require(
+                  resident.remove(victim),
+                  "eviction of an adapter that is not resident: " + victim);
             });
-    require(resident.size() < settings.slots(), "no slot");
+    require(resident.size() < settings.slots(), "load without a free slot");
     loading = load.adapter();
     loads.add(load.adapter());
     long startedIn = generation;
@@ -235,7 +240,7 @@
 
   private void answer(long ticket, AgentAction action) {
     Result earlier = results.put(ticket, new Result(requests.get(ticket), action, now, 0));
-    require(earlier == null, "answered twice: " + ticket);
+    require(earlier == null, "request answered twice: " + ticket);
   }
 
   private static void require(boolean condition, String otherwise) {
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/Requests.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/RequestBuilder.java
@@ -7,8 +7,8 @@
 import org.hornbeamusher.ids.PartnerId;
 import org.hornbeamusher.ids.ServiceName;
 
-/** Requests for tests, changed one part at a time. */
-record Requests(
+/** Immutable builder of requests for tests. */
+record RequestBuilder(
     String adapter,
     String partner,
     String service,
@@ -23,19 +23,19 @@
   static final Weights STALLS = new Weights(3, 1);
   static final Weights BATCHES = new Weights(1, 3);
 
-  /** A request of 100 tokens for {@code valuer/a@1} that may take 60 s. */
-  static Requests valuer() {
-    return new Requests(
+  /** A request of 100 tokens for {@code valuer/a@1} with a deadline of 60 s. */
+  static RequestBuilder valuer() {
+    return new RequestBuilder(
         "valuer/a@1", "tawhiti", "valuer", "yard", 100, 60_000, STALLS, 1, 1, 10_000);
   }
 
-  static Requests dispatch() {
-    return new Requests(
+  static RequestBuilder dispatch() {
+    return new RequestBuilder(
         "dispatch/a@1", "zarqa", "dispatch", "desk", 100, 60_000, BATCHES, 1, 1, 10_000);
   }
 
-  Requests on(String other) {
-    return new Requests(
+  RequestBuilder withAdapter(String other) {
+    return new RequestBuilder(
         other,
         partner,
         service,
@@ -48,8 +48,8 @@
         queueLimit);
   }
 
-  Requests from(String other) {
-    return new Requests(
+  RequestBuilder withCaller(String other) {
+    return new RequestBuilder(
         adapter,
         partner,
         service,
@@ -62,8 +62,8 @@
         queueLimit);
   }
 
-  Requests of(String otherPartner, String otherService) {
-    return new Requests(
+  RequestBuilder withService(String otherPartner, String otherService) {
+    return new RequestBuilder(
         adapter,
         otherPartner,
         otherService,
@@ -76,8 +76,8 @@
         queueLimit);
   }
 
-  Requests costing(int tokens) {
-    return new Requests(
+  RequestBuilder withCost(int tokens) {
+    return new RequestBuilder(
         adapter,
         partner,
         service,
@@ -90,8 +90,8 @@
         queueLimit);
   }
 
-  Requests within(long millis) {
-    return new Requests(
+  RequestBuilder withDeadline(long millis) {
+    return new RequestBuilder(
         adapter,
         partner,
         service,
@@ -104,8 +104,8 @@
         queueLimit);
   }
 
-  Requests weighing(Weights other) {
-    return new Requests(
+  RequestBuilder withWeights(Weights other) {
+    return new RequestBuilder(
         adapter,
         partner,
         service,
@@ -118,8 +118,8 @@
         queueLimit);
   }
 
-  Requests withShares(int ofService, int ofCaller) {
-    return new Requests(
+  RequestBuilder withShares(int ofService, int ofCaller) {
+    return new RequestBuilder(
         adapter,
         partner,
         service,
@@ -132,8 +132,8 @@
         queueLimit);
   }
 
-  Requests queueing(int limit) {
-    return new Requests(
+  RequestBuilder withQueueLimit(int limit) {
+    return new RequestBuilder(
         adapter,
         partner,
         service,
@@ -146,7 +146,7 @@
         limit);
   }
 
-  QueuedRequest arriving(long ticket, long now) {
+  QueuedRequest build(long ticket, long now) {
     return new QueuedRequest(
         ticket,
         adapter.isEmpty() ? Optional.empty() : Optional.of(AdapterRef.parse(adapter)),
