--- a/runtime/src/main/java/org/hornbeamusher/admission/AdmissionDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/admission/AdmissionDecision.java
@@ -2,17 +2,17 @@
 
 import org.hornbeamusher.failure.FailureType;
 
-/** What an entry does with a request before any work is spent on it. */
+/** The decision of an entry on a request before any work is spent on it. */
 public sealed interface AdmissionDecision {
 
-  /** The request is let in; {@link AdmissionPolicy#finished} must follow exactly once. */
+  /** The request is admitted; {@link AdmissionPolicy#finished} must be called exactly once. */
   record Admit() implements AdmissionDecision {}
 
   /**
-   * The request is refused at once; it was not run.
+   * The request is refused at once and is not run.
    *
-   * @param type why
-   * @param retryAfterMillis when it may be sent again, from now
+   * @param type the reason
+   * @param retryAfterMillis after how long the caller may retry
    */
   record Refuse(FailureType type, long retryAfterMillis) implements AdmissionDecision {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/admission/AdmissionRequest.java
+++ b/runtime/src/main/java/org/hornbeamusher/admission/AdmissionRequest.java
@@ -5,16 +5,17 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * What admission needs to know of one request.
+ * The properties of a request that admission control depends on.
  *
- * @param partner who pays for the capacity
+ * @param partner the partner that pays for the capacity
  * @param service the service
- * @param caller who sent it
- * @param costTokens expected work: prompt and answer together
- * @param deadlineMillis when its answer is worthless, as a time of the clock
- * @param estimatedMillis expected time from now to the whole answer: wait and service together
- * @param serviceShare the service's part of its partner's share
- * @param callerWeight the caller's part of the service's share
+ * @param caller the caller that sent it
+ * @param costTokens expected work: prompt and output tokens together
+ * @param deadlineMillis the clock time after which its response is useless
+ * @param estimatedMillis expected time from now to the complete response: waiting and run time
+ *     together
+ * @param serviceShare weight of the service within its partner's share
+ * @param callerWeight weight of the caller within the service's share
  */
 public record AdmissionRequest(
     PartnerId partner,
--- a/runtime/src/main/java/org/hornbeamusher/admission/AdmissionSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/admission/AdmissionSettings.java
@@ -4,45 +4,51 @@
 import org.hornbeamusher.ids.PartnerId;
 
 /**
- * Figures of admission for one pool at one entry.
+ * Admission settings of one pool at one entry.
  *
- * @param inFlightLimit requests in flight above which shares are enforced: the places in the pool's
- *     batches, times one plus the queue that is worth having, divided by the number of entries
- * @param overshoot part of {@code inFlightLimit} that those below their share may use on top
- * @param lentPart part of {@code inFlightLimit} up to which those beyond their share are let in
- * @param memoryMillis how long a holder counts as active after its last request
- * @param deadlines whether requests that cannot finish in time are refused
- * @param shares whether shares are enforced
- * @param partnerShares each partner's guaranteed part; a partner not named has 1
+ * @param inFlightLimit number of requests in flight above which shares are enforced: the batch
+ *     slots of the pool, times one plus the useful queue length per slot, divided by the number of
+ *     entries
+ * @param overshoot fraction of {@code inFlightLimit} that those below their share may use on top
+ * @param borrowableFraction fraction of {@code inFlightLimit} up to which those above their share
+ *     are admitted
+ * @param idleTimeoutMillis how long a partner, service or caller counts as active after its last
+ *     request
+ * @param enforceDeadlines whether requests that cannot finish in time are refused
+ * @param enforceShares whether shares are enforced
+ * @param partnerShares weight of each partner's guaranteed share; 1 for a partner not listed
  */
 public record AdmissionSettings(
     long inFlightLimit,
     double overshoot,
-    double lentPart,
-    long memoryMillis,
-    boolean deadlines,
-    boolean shares,
+    double borrowableFraction,
+    long idleTimeoutMillis,
+    boolean enforceDeadlines,
+    boolean enforceShares,
     Map<PartnerId, Integer> partnerShares) {
 
-  /** Part of the limit that those below their share may use on top, unless set otherwise. */
+  /** Default fraction of the limit that those below their share may use on top. */
   public static final double DEFAULT_OVERSHOOT = 1.0;
 
   /**
-   * Part of the limit up to which anyone is let in, unless set otherwise: the places of the batches
-   * without the queue. Idle places are lent to the other partner, the queue is not. With the queue
-   * lent as well, the first token under another partner's flood came after 7.1 s instead of 2.8 s.
+   * Default fraction of the limit up to which every request is admitted: the batch slots without
+   * the queue. Idle slots are lent to the other partner, queue space is not. When queue space was
+   * lent as well, the time to first token while another partner flooded the pool was 7.1 s instead
+   * of 2.8 s.
    */
   public static final double DEFAULT_LENT_PART = 0.5;
 
-  /** How long a holder counts as active after its last request, unless set otherwise. */
+  /**
+   * Default time for which a partner, service or caller counts as active after its last request.
+   */
   public static final long DEFAULT_MEMORY_MILLIS = 10_000;
 
   /**
-   * Requests that may wait for each place in a batch. With half of one, endpoints whose adapters
-   * are asked for less run empty between requests: at twice the capacity 93 % of what was possible
-   * was answered, with one 98 %. More only makes the wait longer.
+   * Queued requests for each batch slot. With 0.5, endpoints with less popular adapters run empty
+   * between requests: at an offered load of twice the capacity 93 % of the possible requests were
+   * answered, with 1 98 %. A greater value only makes the wait longer.
    */
-  private static final double QUEUED_PER_PLACE = 1;
+  private static final double QUEUED_PER_SLOT = 1;
 
   /** Copies the map. */
   public AdmissionSettings {
@@ -50,21 +56,21 @@
   }
 
   /**
-   * Returns the limit of a pool at one entry.
+   * Returns the in-flight limit of a pool at one entry.
    *
-   * @param places requests that the pool's endpoints run at once
-   * @param entries entries that share the traffic
-   * @return requests in flight above which shares are enforced
+   * @param batchSlots total number of batch slots of the pool's endpoints
+   * @param entries number of entries that share the traffic
+   * @return number of requests in flight above which shares are enforced
    */
-  public static long limit(int places, int entries) {
-    return Math.max(1, Math.round(places * (1 + QUEUED_PER_PLACE) / Math.max(1, entries)));
+  public static long limit(int batchSlots, int entries) {
+    return Math.max(1, Math.round(batchSlots * (1 + QUEUED_PER_SLOT) / Math.max(1, entries)));
   }
 
   /**
-   * Returns settings with every mechanism on.
+   * Returns settings with default values, deadlines and shares enforced.
    *
-   * @param inFlightLimit requests in flight above which shares are enforced
-   * @param partnerShares each partner's guaranteed part
+   * @param inFlightLimit number of requests in flight above which shares are enforced
+   * @param partnerShares weight of each partner's guaranteed share
    * @return the settings
    */
   public static AdmissionSettings of(long inFlightLimit, Map<PartnerId, Integer> partnerShares) {
--- a/runtime/src/main/java/org/hornbeamusher/admission/ShareNode.java
+++ b/runtime/src/main/java/org/hornbeamusher/admission/ShareNode.java
@@ -5,28 +5,28 @@
 import java.util.Map;
 
 /**
- * One holder of a share: the pool, a partner, a service or a caller.
+ * A node of the share hierarchy: the pool, a partner, a service or a caller.
  *
- * <p>A child's fair part of its parent is its weight over the weights of the children that are
- * active. A child that is idle is not counted, so its part is lent to the others; it is counted
- * again from its first request on, which takes the part back.
+ * <p>A child's fair share of its parent is its weight divided by the weights of the active
+ * children. An idle child is not counted, so its share is lent to the others; it is counted again
+ * from its next request on, which reclaims the share.
  */
 final class ShareNode {
 
   /** Requests in flight below this node; never negative. */
   private long inFlight;
 
-  /** When this node last saw a request. */
-  private long lastSeenMillis;
+  /** Time of the last request below this node. */
+  private long lastRequestMillis;
 
   private int weight = 1;
   private final Map<Object, ShareNode> children = new HashMap<>();
 
-  /** Returns the child, made active now with its newest weight. */
-  ShareNode touch(Object key, int childWeight, long now) {
+  /** Finds or creates a child, marks it active now and sets its weight. */
+  ShareNode activate(Object key, int childWeight, long now) {
     ShareNode child = children.computeIfAbsent(key, unused -> new ShareNode());
     child.weight = Math.max(1, childWeight);
-    child.lastSeenMillis = now;
+    child.lastRequestMillis = now;
     return child;
   }
 
@@ -35,11 +35,11 @@
     return children.get(key);
   }
 
-  /** Returns how many {@code child} may hold when this node holds {@code total}. */
-  double fairPart(ShareNode child, double total, long now, long memoryMillis) {
+  /** Returns the fair share of a child when the share of this node is {@code total}. */
+  double fairShare(ShareNode child, double total, long now, long idleTimeoutMillis) {
     long weights = 0;
     for (ShareNode other : children.values()) {
-      if (other.active(now, memoryMillis)) {
+      if (other.active(now, idleTimeoutMillis)) {
         weights += other.weight;
       }
     }
@@ -54,19 +54,19 @@
     return inFlight;
   }
 
-  /** Drops holders that have been idle, so that memory follows who is active, not who ever was. */
-  void forgetIdle(long now, long memoryMillis) {
+  /** Removes idle nodes, so that memory use depends on the active callers only. */
+  void removeIdle(long now, long idleTimeoutMillis) {
     Iterator<ShareNode> all = children.values().iterator();
     while (all.hasNext()) {
       ShareNode child = all.next();
-      child.forgetIdle(now, memoryMillis);
-      if (!child.active(now, memoryMillis)) {
+      child.removeIdle(now, idleTimeoutMillis);
+      if (!child.active(now, idleTimeoutMillis)) {
         all.remove();
       }
     }
   }
 
-  private boolean active(long now, long memoryMillis) {
-    return inFlight > 0 || now - lastSeenMillis < memoryMillis;
+  private boolean active(long now, long idleTimeoutMillis) {
+    return inFlight > 0 || now - lastRequestMillis < idleTimeoutMillis;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/admission/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/admission/package-info.java
@@ -1,2 +1,5 @@
-/** Decides at the door of an entry which requests are let in. No network, no threads. */
+/**
+ * Admission control of an entry: which requests are admitted. Pure decision logic without network
+ * access or threads.
+ */
 package org.hornbeamusher.admission;
--- a/runtime/src/test/java/org/hornbeamusher/admission/AdmissionPolicyTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/admission/AdmissionPolicyTest.java
@@ -26,8 +26,8 @@
 
   private final AdmissionPolicy policy = policy();
 
-  // The estimated end lies beyond the deadline. Its caller could go elsewhere now, and would
-  // otherwise learn of it when it is too late.
+  // Guards against queueing a request whose estimated end is after its deadline: its caller would
+  // learn of it too late to go elsewhere.
   @Test
   void requestThatCannotFinishInTimeIsRefusedAtOnceWithRetryAfter() {
     AdmissionRequest request = request(ZARQA, "desk", 1_000, 4_000);
@@ -43,46 +43,48 @@
     assertEquals(LIMIT, admitted(ZARQA, "desk", LIMIT));
   }
 
-  // One partner floods the pool. The other's requests must find room at once, not when the flood
+  // One partner floods the pool. Requests of the other must be admitted at once, not when the flood
   // has ended.
   @Test
-  void partnerThatComesBackGetsItsPartAtOnceAndTheBorrowerIsHeldBack() {
+  void returningPartnerGetsItsShareAtOnceAndBorrowerIsRefused() {
     admitted(ZARQA, "desk", 1_000);
     assertEquals(LIMIT / 2, admitted(TAWHITI, "yard", LIMIT / 2));
     assertRefused(FailureType.RATE_LIMITED, policy.admit(request(ZARQA, "desk"), 0));
   }
 
-  // One caller of a partner sends a hundred times what the others do. They must not be refused for
+  // One caller of a partner sends a hundred times what the others send. They must not be refused
+  // for
   // it.
   @Test
-  void hotCallerDoesNotTakeTheOthersPart() {
+  void hotCallerDoesNotReduceSharesOfOthers() {
     admitted(TAWHITI, "batch", 1_000);
     assertEquals(LIMIT / 3, admitted(TAWHITI, "yard", LIMIT / 3));
     assertEquals(LIMIT / 3, admitted(TAWHITI, "desk", LIMIT / 3));
     assertRefused(FailureType.RATE_LIMITED, policy.admit(request(TAWHITI, "batch"), 0));
   }
 
-  // The queue belongs to a flood that is served after this caller. An estimate that counts it would
-  // have the caller refused for a wait that it does not have.
+  // The queue consists of a flood that is served after this caller. The estimated wait counts it,
+  // and the caller must not be refused for a wait that it would not have.
   @Test
-  void callerBelowItsPartIsNotRefusedForTheQueueOfTheOthers() {
+  void callerBelowItsShareIsNotRefusedForTheQueueOfOthers() {
     admitted(ZARQA, "desk", 1_000);
     AdmissionRequest request = request(TAWHITI, "yard", 5_000, 9_000);
     assertInstanceOf(AdmissionDecision.Admit.class, policy.admit(request, 0));
   }
 
-  // Nobody else asks for anything. A burst of which every request can end in time is let in whole:
-  // refusing a part of it would leave the pool idle afterwards.
+  // No other caller is active. A burst that can finish in time is admitted completely: refusing a
+  // part of it would leave the pool idle afterwards.
   @Test
-  void burstsOfTheOnlyCallerAreBoundedByTheDeadlineAlone() {
+  void burstOfSingleCallerIsLimitedByDeadlineOnly() {
     assertEquals(3 * LIMIT, admitted(ZARQA, "desk", 3 * LIMIT));
     AdmissionRequest late = request(ZARQA, "desk", 5_000, 9_000);
     assertRefused(FailureType.DEADLINE_TOO_NEAR, policy.admit(late, 0));
   }
 
-  // Long requests are in flight for longer, so their caller reaches its part with fewer of them.
+  // A caller at its fair share is admitted again as soon as one of its requests ends. Long requests
+  // are in flight for longer, so their caller reaches its share with fewer of them.
   @Test
-  void endOfRequestFreesItsPlace() {
+  void endOfRequestFreesItsShare() {
     admitted(TAWHITI, "yard", 1);
     admitted(ZARQA, "desk", 1_000);
     assertRefused(FailureType.RATE_LIMITED, policy.admit(request(ZARQA, "desk"), 0));
@@ -90,11 +92,11 @@
     assertInstanceOf(AdmissionDecision.Admit.class, policy.admit(request(ZARQA, "desk"), 0));
   }
 
-  // Requests come and go in any order from both partners. An entry that held more than its bound
-  // would run out of memory before it refused; a caller below its part that is refused gets less
-  // than its partner was promised.
+  // Random arrivals and ends of requests of both partners. An entry that admits more than its limit
+  // runs out of memory before it refuses; a caller refused below its fair share gets less than its
+  // partner's guarantee.
   @Property(seed = "88", tries = 300)
-  void boundHoldsAndWhoIsBelowItsPartIsLetIn(
+  void limitHoldsAndCallersBelowTheirShareAreAdmitted(
       @ForAll @Size(max = 300) List<@IntRange(max = 5) Integer> steps) {
     AdmissionPolicy one = policy();
     List<AdmissionRequest> inFlight = new ArrayList<>();
