--- a/runtime/src/main/java/org/hornbeamusher/dispatch/AgentLink.java
+++ b/runtime/src/main/java/org/hornbeamusher/dispatch/AgentLink.java
@@ -11,10 +11,10 @@
 import org.hornbeamusher.wire.WireConnection;
 
 /**
- * The attempts that are under way on one connection to one agent.
+ * The attempts in progress on one connection to one agent.
  *
- * <p>A link lives as long as its connection. Attempts are numbered within it, so that a frame of an
- * earlier connection can never be taken for one of this.
+ * <p>A link exists as long as its connection. Attempts are numbered per link, so a frame of an
+ * earlier connection can never be attributed to an attempt on this one.
  */
 public final class AgentLink {
 
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Returns the endpoint behind the link.
+   * Returns the endpoint of the agent.
    *
    * @return the endpoint
    */
@@ -44,10 +44,10 @@
   }
 
   /**
-   * Sends an attempt.
+   * Starts an attempt and sends its dispatch message.
    *
-   * @param dispatch makes the message from the attempt's number
-   * @return the attempt, or empty when it was certainly not sent
+   * @param dispatch creates the message for the attempt's number
+   * @return the attempt, or empty if the message was certainly not sent
    */
   public Optional<AttemptCall> open(LongFunction<Message.Dispatch> dispatch) {
     long attempt = nextAttempt.getAndIncrement();
@@ -61,10 +61,10 @@
   }
 
   /**
-   * Passes on what the agent said.
+   * Delivers a message of the agent to its attempt; a message for an unknown attempt is ignored.
    *
-   * @param attempt the attempt it is about
-   * @param message what it said
+   * @param attempt the attempt that the message belongs to
+   * @param message the message
    */
   public void heard(long attempt, Message message) {
     AttemptCall call = calls.get(attempt);
@@ -74,9 +74,9 @@
   }
 
   /**
-   * Tells every attempt that the connection ended.
+   * Notifies every attempt that the connection was lost.
    *
-   * @param reason why
+   * @param reason the cause
    */
   public void lost(HornbeamusherException reason) {
     for (AttemptCall call : calls.values()) {
@@ -89,7 +89,7 @@
     connection.send(message);
   }
 
-  void forget(long attempt) {
+  void removeAttempt(long attempt) {
     calls.remove(attempt);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/dispatch/AttemptCall.java
+++ b/runtime/src/main/java/org/hornbeamusher/dispatch/AttemptCall.java
@@ -5,21 +5,21 @@
 import org.hornbeamusher.wire.Message;
 
 /**
- * One attempt as its entry sees it: a queue of events, filled by the connection and emptied by the
- * request's own thread. What is queued is bounded by the credit that the request grants.
+ * The entry's side of one attempt: a queue of events, filled by the connection and read by the
+ * request's own thread. The credit that the request grants limits the queued bytes.
  */
 public final class AttemptCall {
 
-  /** Answer bytes that may be under way or queued: 256 KiB is some 30,000 tokens of text. */
+  /** Response bytes that may be in transit or queued; 256 KiB is about 30,000 tokens of text. */
   public static final long INITIAL_CREDIT = 256 * 1024;
 
-  /** Credit is returned in pieces, so that not every token costs a frame back. */
-  private static final long CREDIT_STEP = INITIAL_CREDIT / 4;
+  /** Credit is granted in steps of this size, so that not every token causes a credit frame. */
+  private static final long CREDIT_STEP_BYTES = INITIAL_CREDIT / 4;
 
   private final AgentLink link;
   private final long attempt;
   private final LinkedBlockingQueue<AttemptEvent> events = new LinkedBlockingQueue<>();
-  private long consumed;
+  private long consumedBytes;
 
   AttemptCall(AgentLink link, long attempt) {
     this.link = link;
@@ -38,44 +38,44 @@
   /**
    * Waits for the next event.
    *
-   * @param millis how long at most
-   * @return the event, or null when none came in time
-   * @throws InterruptedException when the thread is interrupted
+   * @param millis maximum time to wait
+   * @return the event, or null if none arrived in time
+   * @throws InterruptedException if the thread is interrupted
    */
   public AttemptEvent next(long millis) throws InterruptedException {
     return events.poll(Math.max(0, millis), TimeUnit.MILLISECONDS);
   }
 
   /**
-   * Adds an event.
+   * Adds an event to the queue.
    *
-   * @param event what happened
+   * @param event the event
    */
   public void add(AttemptEvent event) {
     events.add(event);
   }
 
   /**
-   * Grants credit for bytes that the caller has taken.
+   * Grants new credit for bytes that the caller has consumed.
    *
-   * @param bytes how many
+   * @param bytes number of bytes consumed
    */
   public void consumed(int bytes) {
-    consumed += bytes;
-    if (consumed >= CREDIT_STEP) {
-      link.send(new Message.Credit(attempt, consumed));
-      consumed = 0;
+    consumedBytes += bytes;
+    if (consumedBytes >= CREDIT_STEP_BYTES) {
+      link.send(new Message.Credit(attempt, consumedBytes));
+      consumedBytes = 0;
     }
   }
 
-  /** Ends the attempt at the agent; nothing of it is heard any more. */
+  /** Cancels the attempt at the agent; later messages for it are ignored. */
   public void cancel() {
-    link.forget(attempt);
+    link.removeAttempt(attempt);
     link.send(new Message.Cancel(attempt));
   }
 
-  /** Forgets an attempt that ended by itself. */
+  /** Removes an attempt that has ended from its link, without cancelling it at the agent. */
   public void close() {
-    link.forget(attempt);
+    link.removeAttempt(attempt);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/dispatch/AttemptEvent.java
+++ b/runtime/src/main/java/org/hornbeamusher/dispatch/AttemptEvent.java
@@ -3,20 +3,20 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.wire.Message;
 
-/** What happens to an attempt, in order. */
+/** An event of an attempt; events are queued in the order in which they occur. */
 public sealed interface AttemptEvent {
 
   /**
-   * The agent said something of the attempt.
+   * A message of the agent for the attempt was received.
    *
    * @param message a started, head, chunk, closing or failed message
    */
   record Said(Message message) implements AttemptEvent {}
 
   /**
-   * The connection to the agent ended.
+   * The connection to the agent was lost.
    *
-   * @param reason why
+   * @param reason the cause
    */
   record ConnectionLost(HornbeamusherException reason) implements AttemptEvent {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/dispatch/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/dispatch/package-info.java
@@ -1,2 +1,5 @@
-/** Attempts of an entry at agents: from the frame that is sent to the answer that is whole. */
+/**
+ * The entry's side of attempts at agents, from sending the dispatch message to the complete
+ * response.
+ */
 package org.hornbeamusher.dispatch;
