--- a/runtime/src/main/java/org/hornbeamusher/quota/QuotaBucket.java
+++ b/runtime/src/main/java/org/hornbeamusher/quota/QuotaBucket.java
@@ -3,51 +3,51 @@
 import org.hornbeamusher.accounts.Quota;
 
 /**
- * One entry's account of what a client account has used, here and at the other entries.
+ * One entry's copy of the usage of a client account, at this entry and at the others.
  *
- * <p>Two limits hold. Any window gets no more than the quota allows for its length. Within that, a
- * token bucket of the account's burst spreads what is left of the window evenly, so that an account
- * that asks for many times its quota gets it at a steady rate.
+ * <p>Two limits apply. In any window, no more is admitted than the quota allows for its length.
+ * Within that, a token bucket with the account's burst spreads the rest of the window evenly, so
+ * that an account that requests many times its quota gets it at a steady rate.
  *
- * <p>The level of the bucket falls by what this entry admits at once and by what other entries
- * admit when it is reported; it may become negative. An entry that cannot be reached keeps its even
- * share of both limits.
+ * <p>The level of the bucket decreases immediately by what this entry admits, and by what other
+ * entries admit as soon as that is reported; it may become negative. An unreachable entry keeps its
+ * even share of both limits.
  */
 final class QuotaBucket {
 
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** Below this part of the burst an account counts as near its limit. */
-  private static final double NEAR_LIMIT = 0.5;
+  /** Below this fraction of the burst, an account counts as near its limit. */
+  private static final double NEAR_LIMIT_FRACTION = 0.5;
 
-  /** Beyond this part of what may be taken unreported, a report is due soon. */
-  private static final double REPORT_SOON = 0.5;
+  /** Above this fraction of the units that may be charged unconfirmed, a report is urgent. */
+  private static final double URGENT_UNCONFIRMED_FRACTION = 0.5;
 
   private final QuotaSettings settings;
   private final QuotaTolerance tolerance;
-  private final WindowSum here;
-  private final WindowSum elsewhere;
+  private final WindowSum localUsage;
+  private final WindowSum remoteUsage;
   private Quota quota;
   private double level;
 
-  /** What was taken here since the last update of what other entries use. */
-  private long takenUnconfirmed;
+  /** Units charged at this entry since the last update of the usage of other entries. */
+  private long unconfirmedUnits;
 
-  /** The level at that update. */
+  /** The level at that update, at least 0. */
   private double confirmedLevel;
 
-  private long refilledMillis;
+  private long lastRefillMillis;
 
   QuotaBucket(QuotaSettings settings, QuotaTolerance tolerance, Quota quota, long now) {
     this.settings = settings;
     this.tolerance = tolerance;
-    this.here = new WindowSum(tolerance.windowMillis());
-    this.elsewhere = new WindowSum(tolerance.windowMillis());
+    this.localUsage = new WindowSum(tolerance.windowMillis());
+    this.remoteUsage = new WindowSum(tolerance.windowMillis());
     this.quota = quota;
-    this.refilledMillis = now;
+    this.lastRefillMillis = now;
   }
 
-  void configured(Quota next) {
+  void updateQuota(Quota next) {
     quota = next;
     level = Math.min(level, next.burst());
   }
@@ -56,83 +56,87 @@
     return level;
   }
 
-  /** Adds what has come back since the last call. */
+  /** Refills the bucket for the time since the last call. */
   void refill(int reachable, int entries, long now) {
-    double seconds = Math.max(0, now - refilledMillis) / MILLIS_PER_SECOND;
-    refilledMillis = Math.max(now, refilledMillis);
-    double known = (double) Math.min(reachable, entries) / entries;
-    level = Math.min(level + rate(reachable, entries) * seconds, quota.burst() * known);
+    double seconds = Math.max(0, now - lastRefillMillis) / MILLIS_PER_SECOND;
+    lastRefillMillis = Math.max(now, lastRefillMillis);
+    double reachableFraction = (double) Math.min(reachable, entries) / entries;
+    level =
+        Math.min(
+            level + refillRate(reachable, entries) * seconds, quota.burst() * reachableFraction);
   }
 
-  private double rate(int reachable, int entries) {
+  private double refillRate(int reachable, int entries) {
     return windowLimit(reachable, entries) * MILLIS_PER_SECOND / tolerance.windowMillis();
   }
 
   private double windowLimit(int reachable, int entries) {
     return reachable >= entries
         ? tolerance.allowed(quota)
-        : tolerance.strict(quota) * reachable / entries;
+        : tolerance.withoutTolerance(quota) * reachable / entries;
   }
 
   /**
-   * Returns whether a request may be admitted; one that is larger than what is left leaves a debt.
+   * Returns whether a request may be admitted; one that costs more than the level makes it
+   * negative.
    */
-  boolean open(int reachable, int entries, long now) {
-    boolean ahead = takenUnconfirmed > 0 && takenUnconfirmed >= allowedUnconfirmed(entries);
+  boolean mayAdmit(int reachable, int entries, long now) {
+    boolean unconfirmedLimitReached =
+        unconfirmedUnits > 0 && unconfirmedUnits >= maxUnconfirmedUnits(entries);
     return level > 0
-        && (reachable <= 1 || !ahead)
-        && used(reachable, now) < windowLimit(reachable, entries);
+        && (reachable <= 1 || !unconfirmedLimitReached)
+        && usedInWindow(reachable, now) < windowLimit(reachable, entries);
   }
 
-  /** An entry that reaches nobody has its own share, whatever the others used before. */
-  private long used(int reachable, long now) {
-    return here.total(now) + (reachable <= 1 ? 0 : elsewhere.total(now));
+  /** An entry that reaches no other has its own share, whatever the others used before. */
+  private long usedInWindow(int reachable, long now) {
+    return localUsage.total(now) + (reachable <= 1 ? 0 : remoteUsage.total(now));
   }
 
-  /** Returns whether the usage should be known elsewhere soon. */
-  boolean urgent(int entries) {
-    return level < NEAR_LIMIT * quota.burst()
-        || takenUnconfirmed > REPORT_SOON * allowedUnconfirmed(entries);
+  /** Returns whether the usage must be reported to the other entries soon. */
+  boolean reportUrgent(int entries) {
+    return level < NEAR_LIMIT_FRACTION * quota.burst()
+        || unconfirmedUnits > URGENT_UNCONFIRMED_FRACTION * maxUnconfirmedUnits(entries);
   }
 
-  /** An entry that reaches nobody is bounded by its share of the burst instead. */
-  private double allowedUnconfirmed(int entries) {
-    return settings.shareFactor() * confirmedLevel / entries;
+  /** Does not apply to an entry that reaches no other; its share of the burst limits it instead. */
+  private double maxUnconfirmedUnits(int entries) {
+    return settings.burstShareFactor() * confirmedLevel / entries;
   }
 
-  void take(long units, long now) {
+  void charge(long units, long now) {
     level -= units;
-    takenUnconfirmed += units;
-    here.add(units, now);
+    unconfirmedUnits += units;
+    localUsage.add(units, now);
   }
 
-  void giveBack(long units, long takenMillis, long now) {
+  void refund(long units, long chargedMillis, long now) {
     level = Math.min(level + units, quota.burst());
-    takenUnconfirmed -= units;
-    here.takeOff(units, takenMillis, now);
+    unconfirmedUnits -= units;
+    localUsage.subtract(units, chargedMillis, now);
   }
 
-  /** The usage of other entries is known up to now. */
-  void confirmed() {
-    takenUnconfirmed = 0;
+  /** Records that the usage of the other entries is known up to now. */
+  void remoteUsageUpdated() {
+    unconfirmedUnits = 0;
     confirmedLevel = Math.max(0, level);
   }
 
-  /** Takes what other entries have admitted, or gives back what did not run there. */
-  void takenElsewhere(long units, long now) {
+  /** Charges units admitted by other entries; negative units are a refund. */
+  void chargeRemote(long units, long now) {
     level = Math.min(level - units, quota.burst());
-    elsewhere.add(units, now);
+    remoteUsage.add(units, now);
   }
 
-  /** Returns when it is open again if nobody takes anything meanwhile. */
-  long openAfterMillis(int reachable, int entries, long now) {
-    double refilled = Math.max(0, -level) / rate(reachable, entries) * MILLIS_PER_SECOND;
+  /** Returns after how long a request may be admitted again if nothing is charged until then. */
+  long retryAfterMillis(int reachable, int entries, long now) {
+    double refillMillis = Math.max(0, -level) / refillRate(reachable, entries) * MILLIS_PER_SECOND;
     double limit = windowLimit(reachable, entries);
-    long window =
+    long windowMillis =
         reachable <= 1
-            ? here.millisUntilBelow(limit, now)
-            : here.millisUntilBelow(limit, elsewhere, now);
-    long confirmed = level > 0 ? settings.intervalMillis(entries) : 0;
-    return 1 + Math.max(Math.round(refilled), Math.max(window, confirmed));
+            ? localUsage.millisUntilBelow(limit, now)
+            : localUsage.millisUntilBelow(limit, remoteUsage, now);
+    long reportMillis = level > 0 ? settings.intervalMillis(entries) : 0;
+    return 1 + Math.max(Math.round(refillMillis), Math.max(windowMillis, reportMillis));
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/quota/QuotaCharge.java
+++ b/runtime/src/main/java/org/hornbeamusher/quota/QuotaCharge.java
@@ -3,10 +3,10 @@
 import org.hornbeamusher.accounts.AccountName;
 
 /**
- * What a request has taken of its account's quota.
+ * The charge of a request to its account's quota.
  *
  * @param account the account
- * @param units what was taken; 0 where nothing is limited
- * @param chargedMillis when it was taken
+ * @param units the units charged; 0 if the account is unlimited
+ * @param chargedMillis when they were charged
  */
 public record QuotaCharge(AccountName account, long units, long chargedMillis) {}
--- a/runtime/src/main/java/org/hornbeamusher/quota/QuotaDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/quota/QuotaDecision.java
@@ -4,19 +4,19 @@
 public sealed interface QuotaDecision {
 
   /**
-   * It is; its cost is charged.
+   * The request is within the quota, and its cost is charged.
    *
-   * @param charge to be given back if the request does not run
+   * @param charge the charge, to be refunded if the request does not run
    */
   record Admitted(QuotaCharge charge) implements QuotaDecision {}
 
   /**
-   * It is not, and nothing is charged.
+   * The request exceeds the quota, and nothing is charged.
    *
-   * @param retryAfterMillis until the quota allows a request again, if nobody else asks meanwhile
-   * @param level units that are left; negative for a debt
-   * @param reachable entries whose usage is known, this one included
-   * @param entries entries that share the quota
+   * @param retryAfterMillis time until the quota allows a request again if no other is admitted
+   * @param level units that are left; negative if more was charged than the quota allows
+   * @param reachable number of entries whose usage is known, including this one
+   * @param entries number of entries that share the quota
    */
   record Exceeded(long retryAfterMillis, long level, int reachable, int entries)
       implements QuotaDecision {}
--- a/runtime/src/main/java/org/hornbeamusher/quota/QuotaSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/quota/QuotaSettings.java
@@ -3,43 +3,45 @@
 /**
  * How entries share the quotas of client accounts.
  *
- * @param reportMillis how often an entry reports its usage while nothing is urgent
- * @param perEntryMillis is added to that for each entry, so that the reports of many entries do not
- *     outgrow their relays
- * @param urgentMillis how soon usage is reported of an account that is near its limit
- * @param silentReports intervals without a report after which an entry counts as unreachable
- * @param assumedEntries how many entries share a quota as long as no relay has said it
- * @param shareFactor how many times its even share of a burst an entry may take between two updates
- *     of what the others use
+ * @param reportIntervalMillis base interval between usage reports of an entry while none is urgent
+ * @param intervalPerEntryMillis added to that interval for each entry, so that the reports of many
+ *     entries do not overload the relays
+ * @param urgentMillis delay of a report when an account is near its limit
+ * @param unreachableAfterIntervals number of report intervals without a report after which an
+ *     entry, or a relay, counts as unreachable
+ * @param assumedEntries number of entries that are assumed to share a quota until a relay has
+ *     reported one
+ * @param burstShareFactor multiple of its even share of a burst that an entry may charge between
+ *     two updates of the usage of the others
  */
 public record QuotaSettings(
-    long reportMillis,
-    long perEntryMillis,
+    long reportIntervalMillis,
+    long intervalPerEntryMillis,
     long urgentMillis,
-    double silentReports,
+    double unreachableAfterIntervals,
     int assumedEntries,
-    double shareFactor) {
+    double burstShareFactor) {
 
-  /** What entries and agents use. */
+  /** The settings of entries and agents. */
   public static final QuotaSettings DEFAULT = new QuotaSettings(100, 2, 20, 2, 20, 4);
 
   /**
-   * Returns the longest time between two reports of an entry.
+   * Returns the maximum interval between two reports of an entry.
    *
-   * @param entries how many entries there are
+   * @param entries the number of entries
    * @return milliseconds
    */
   public long intervalMillis(int entries) {
-    return reportMillis + perEntryMillis * entries;
+    return reportIntervalMillis + intervalPerEntryMillis * entries;
   }
 
   /**
-   * Returns after how long without a report an entry, or a relay, counts as unreachable.
+   * Returns the time without a report after which an entry, or a relay, counts as unreachable.
    *
-   * @param entries how many entries there are
+   * @param entries the number of entries
    * @return milliseconds
    */
-  public long silentMillis(int entries) {
-    return Math.round(intervalMillis(entries) * silentReports);
+  public long unreachableAfterMillis(int entries) {
+    return Math.round(intervalMillis(entries) * unreachableAfterIntervals);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/quota/QuotaTolerance.java
+++ b/runtime/src/main/java/org/hornbeamusher/quota/QuotaTolerance.java
@@ -3,23 +3,25 @@
 import org.hornbeamusher.accounts.Quota;
 
 /**
- * How the operators judge a quota: in any window, an account may get what its rate and burst allow,
- * a share on top, and a fixed number of units.
+ * The tolerance with which operators check a quota: in any window, an account may get what its rate
+ * and burst allow, plus a fraction of that, plus a fixed number of units.
  *
- * <p>What lies within that need not be refused. Part of it is used for requests while every entry's
- * usage is known; the rest covers what entries admit before they know of each other.
+ * <p>Usage within this tolerance need not be refused. A part of the tolerance is used for requests
+ * while the usage of every entry is known; the rest covers what entries admit before they know of
+ * each other's usage.
  *
  * @param windowMillis the length of a window
- * @param overshoot a share of rate and burst on top
- * @param slack units on top
- * @param usedShare the part of overshoot and slack that requests may use
+ * @param overshoot fraction of rate and burst that is tolerated in addition to them
+ * @param slack units that are tolerated in addition
+ * @param usableFraction the fraction of overshoot and slack that requests may use
  */
-public record QuotaTolerance(long windowMillis, double overshoot, long slack, double usedShare) {
+public record QuotaTolerance(
+    long windowMillis, double overshoot, long slack, double usableFraction) {
 
-  /** Windows of ten seconds, and nothing on top of rate and burst. */
+  /** Windows of ten seconds, without tolerance beyond rate and burst. */
   public static final QuotaTolerance NONE = new QuotaTolerance(10_000, 0, 0, 0);
 
-  /** The part of the tolerance that requests may use, unless set otherwise. */
+  /** Default fraction of the tolerance that requests may use. */
   public static final double DEFAULT_USED_SHARE = 0.5;
 
   private static final double MILLIS_PER_SECOND = 1_000;
@@ -27,20 +29,20 @@
   /**
    * Returns what an account may get in a window by its rate and burst alone.
    *
-   * @param quota a limited one
+   * @param quota a quota with a limit
    * @return units
    */
-  public double strict(Quota quota) {
+  public double withoutTolerance(Quota quota) {
     return quota.ratePerSecond() * windowMillis / MILLIS_PER_SECOND + quota.burst();
   }
 
   /**
    * Returns what an account may get in a window while the usage of every entry is known.
    *
-   * @param quota a limited one
-   * @return units, at least {@link #strict}
+   * @param quota a quota with a limit
+   * @return units, at least {@link #withoutTolerance}
    */
   public double allowed(Quota quota) {
-    return strict(quota) + usedShare * (strict(quota) * overshoot + slack);
+    return withoutTolerance(quota) + usableFraction * (withoutTolerance(quota) * overshoot + slack);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/quota/UsageRelay.java
+++ b/runtime/src/main/java/org/hornbeamusher/quota/UsageRelay.java
@@ -6,30 +6,30 @@
 import java.util.function.BiConsumer;
 
 /**
- * Adds up at an agent what entries report of their client accounts' usage, and passes on to each
- * entry what the others have used.
+ * Adds up, at an agent, the usage of client accounts that entries report, and forwards to each
+ * entry the usage of the others.
  *
- * <p>It keeps sums only, never a limit: a relay that is lost takes nothing with it but the reports
- * that were on their way, and the other relay has those too.
+ * <p>It keeps sums only, no limits: with a lost relay only the reports in transit are lost, and the
+ * other relay receives those too.
  *
- * <p>An entry whose connection is lost may be serving callers behind a partition, so it goes on
- * being counted, unless it has said that it leaves. One that starts again takes its place by its
- * name.
+ * <p>An entry whose connection is lost may still serve callers behind a partition, so it remains
+ * counted unless it has announced that it is leaving. An entry that restarts is identified by its
+ * name and not counted twice.
  *
  * @param <E> identifies an entry's connection
  */
 public final class UsageRelay<E> {
 
-  /** The longest partition between regions that is reckoned with. */
-  private static final long LOST_MILLIS = 3_600_000;
+  /** Longest partition between regions during which a lost entry remains counted. */
+  private static final long LOST_ENTRY_RETENTION_MILLIS = 3_600_000;
 
-  /** More entries than are lost in that time. */
-  private static final int MOST_LOST = 4_096;
+  /** More than the number of entries that are lost in that time. */
+  private static final int MAX_LOST_ENTRIES = 4_096;
 
   private final QuotaSettings settings;
 
-  /** When the connection of each entry was lost that has not connected again. */
-  private final LinkedHashMap<String, Long> lost = new LinkedHashMap<>();
+  /** When the connection was lost, for each entry that has not reconnected. */
+  private final LinkedHashMap<String, Long> lostEntries = new LinkedHashMap<>();
 
   private final Map<String, Long> totals = new HashMap<>();
   private final Map<E, Entry> entries = new HashMap<>();
@@ -38,50 +38,50 @@
   /**
    * Creates a relay without entries.
    *
-   * @param settings how entries share
+   * @param settings how entries share quotas
    */
   public UsageRelay(QuotaSettings settings) {
     this.settings = settings;
   }
 
   /**
-   * An entry has connected; it receives what is used from now on.
+   * Records that an entry has connected; the usage of others from now on is forwarded to it.
    *
    * @param entry its connection
-   * @param name the entry's, also after it has started again
+   * @param name the name of the entry, which stays the same over restarts
    */
   public void opened(E entry, String name) {
-    lost.remove(name);
+    lostEntries.remove(name);
     entries.put(entry, new Entry(name, new HashMap<>(totals)));
   }
 
   /**
-   * An entry says that it will not take callers any more.
+   * Records that an entry has announced that it is leaving and will accept no more callers.
    *
    * @param entry its connection
    */
   public void left(E entry) {
     Entry leaving = entries.get(entry);
     if (leaving != null) {
-      leaving.left = true;
+      leaving.leaving = true;
     }
   }
 
   /**
-   * An entry's connection was lost. What it has used stays in the sums.
+   * Records that an entry's connection was lost. Its usage stays in the sums.
    *
    * @param entry its connection
    * @param now milliseconds
    */
   public void closed(E entry, long now) {
     Entry closed = entries.remove(entry);
-    if (closed == null || closed.left || connected(closed.name)) {
+    if (closed == null || closed.leaving || connected(closed.name)) {
       return;
     }
-    lost.remove(closed.name);
-    lost.put(closed.name, now);
-    if (lost.size() > MOST_LOST) {
-      lost.remove(lost.firstEntry().getKey());
+    lostEntries.remove(closed.name);
+    lostEntries.put(closed.name, now);
+    if (lostEntries.size() > MAX_LOST_ENTRIES) {
+      lostEntries.remove(lostEntries.firstEntry().getKey());
     }
   }
 
@@ -93,19 +93,19 @@
    * Counts the entries that share the quotas.
    *
    * @param now milliseconds
-   * @return those that are connected, and those that may serve callers out of reach
+   * @return the number of connected entries and of lost entries that may still serve callers
    */
   public int size(long now) {
-    lost.values().removeIf(since -> now - since >= LOST_MILLIS);
+    lostEntries.values().removeIf(since -> now - since >= LOST_ENTRY_RETENTION_MILLIS);
     long connected = entries.values().stream().map(entry -> entry.name).distinct().count();
-    return (int) connected + lost.size();
+    return (int) connected + lostEntries.size();
   }
 
   /**
-   * An entry reports.
+   * Adds a report of an entry to the sums.
    *
    * @param entry its connection
-   * @param increments units by account since its last report
+   * @param increments units admitted since its last report, by account
    * @param now milliseconds
    */
   public void reported(E entry, Map<String, Long> increments, long now) {
@@ -124,50 +124,50 @@
   }
 
   /**
-   * Returns whether usage was reported that was not passed on.
+   * Returns whether usage was reported that has not been forwarded.
    *
-   * @return whether {@link #pass} has something new to say
+   * @return whether {@link #pass} has new usage to send
    */
   public boolean changed() {
     return changed;
   }
 
   /**
-   * Returns whether any entry reports here.
+   * Returns whether any entry reports to this relay.
    *
    * @param now milliseconds
-   * @return false when other relays are used
+   * @return false if the entries use other relays
    */
   public boolean used(long now) {
     return reachable(now) > 0;
   }
 
   /**
-   * Passes on what each entry does not know yet.
+   * Forwards to each reporting entry the usage that it does not know yet.
    *
    * @param now milliseconds
-   * @param send takes the increments of one entry, also when there are none
+   * @param send sends the increments to one entry; also called if there are none
    */
   public void pass(long now, BiConsumer<E, Map<String, Long>> send) {
     changed = false;
     entries.forEach(
         (connection, entry) -> {
-          if (entry.reports(now)) {
+          if (entry.isReporting(now)) {
             send.accept(connection, entry.increments(totals));
           }
         });
   }
 
   /**
-   * Counts the entries that reported lately.
+   * Counts the entries that reported recently.
    *
    * @param now milliseconds
-   * @return how many
+   * @return the number of entries
    */
   public int reachable(long now) {
     int count = 0;
     for (Entry entry : entries.values()) {
-      count += entry.reports(now) ? 1 : 0;
+      count += entry.isReporting(now) ? 1 : 0;
     }
     return count;
   }
@@ -176,10 +176,10 @@
 
     private final String name;
 
-    /** By account, the sum of all entries as far as this one knows it. */
+    /** The sum over all entries by account, as far as this entry knows it. */
     private final Map<String, Long> known;
 
-    private boolean left;
+    private boolean leaving;
 
     private long reportedMillis = Long.MIN_VALUE / 2;
 
@@ -188,8 +188,8 @@
       this.known = known;
     }
 
-    boolean reports(long now) {
-      return now - reportedMillis <= settings.silentMillis(entries.size());
+    boolean isReporting(long now) {
+      return now - reportedMillis <= settings.unreachableAfterMillis(entries.size());
     }
 
     Map<String, Long> increments(Map<String, Long> sums) {
--- a/runtime/src/main/java/org/hornbeamusher/quota/WindowSum.java
+++ b/runtime/src/main/java/org/hornbeamusher/quota/WindowSum.java
@@ -3,7 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Adds up units of the last window, in steps. What is given back is taken off where it was added.
+ * Sum of units over a sliding window, kept in fixed steps. A refund is subtracted from the step in
+ * which the units were added.
  */
 final class WindowSum {
 
@@ -11,7 +12,7 @@
 
   private final long stepMillis;
   private final long[] sums = new long[STEPS];
-  private long step = Long.MIN_VALUE;
+  private long currentStep = Long.MIN_VALUE;
   private long total;
 
   WindowSum(long windowMillis) {
@@ -20,16 +21,16 @@
 
   void add(long units, long now) {
     advance(now);
-    sums[index(step)] += units;
+    sums[index(currentStep)] += units;
     total += units;
   }
 
-  /** Takes off what was added at a moment, unless that has left the window. */
-  void takeOff(long units, long addedMillis, long now) {
+  /** Subtracts units that were added at an earlier time, unless that time has left the window. */
+  void subtract(long units, long addedMillis, long now) {
     advance(now);
-    long at = addedMillis / stepMillis;
-    if (step - at < STEPS) {
-      sums[index(at)] -= units;
+    long addedStep = addedMillis / stepMillis;
+    if (currentStep - addedStep < STEPS) {
+      sums[index(addedStep)] -= units;
       total -= units;
     }
   }
@@ -39,18 +40,21 @@
     return total;
   }
 
-  /** Returns how long it takes until less than a number of units is left in the window. */
+  /** Returns the time until the sum over the window falls below a limit. */
   long millisUntilBelow(double limit, long now) {
     return millisUntilBelow(limit, new WindowSum(stepMillis * STEPS), now);
   }
 
-  /** Likewise, of the units of this window and of another one of the same length together. */
+  /**
+   * Returns the time until the sum over this and another window of equal length falls below a
+   * limit.
+   */
   long millisUntilBelow(double limit, WindowSum other, long now) {
     advance(now);
     other.advance(now);
     long left = total + other.total;
-    long at = step - STEPS + 1;
-    while (left >= limit && at <= step) {
+    long at = currentStep - STEPS + 1;
+    while (left >= limit && at <= currentStep) {
       left -= sums[index(at)] + other.sums[index(at)];
       at++;
     }
@@ -59,16 +63,16 @@
 
   private void advance(long now) {
     long current = now / stepMillis;
-    if (step == Long.MIN_VALUE || current - step >= STEPS) {
+    if (currentStep == Long.MIN_VALUE || current - currentStep >= STEPS) {
       Arrays.fill(sums, 0);
       total = 0;
-      step = current;
+      currentStep = current;
       return;
     }
-    while (step < current) {
-      step++;
-      total -= sums[index(step)];
-      sums[index(step)] = 0;
+    while (currentStep < current) {
+      currentStep++;
+      total -= sums[index(currentStep)];
+      sums[index(currentStep)] = 0;
     }
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/quota/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/quota/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Limits of client accounts over all entries together: decisions without network or threads.
+ * Quotas of client accounts, shared by all entries. Pure decision logic without network access or
+ * threads.
  *
- * <p>{@link org.hornbeamusher.quota.QuotaMeter} decides at an entry, {@link
- * org.hornbeamusher.quota.UsageRelay} adds up at an agent what the entries admit.
+ * <p>{@link org.hornbeamusher.quota.QuotaMeter} decides at an entry; {@link
+ * org.hornbeamusher.quota.UsageRelay} adds up, at an agent, what the entries admit.
  */
 package org.hornbeamusher.quota;
--- a/runtime/src/test/java/org/hornbeamusher/quota/QuotaBucketTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/quota/QuotaBucketTest.java
@@ -10,7 +10,7 @@
 import org.hornbeamusher.accounts.Quota;
 import org.hornbeamusher.accounts.QuotaUnit;
 
-/** The Retry-After of an account that is beyond its quota. */
+/** The Retry-After of an account that exceeds its quota. */
 class QuotaBucketTest {
 
   private static final long WINDOW_MILLIS = 8_000;
@@ -18,7 +18,10 @@
   private static final long STEP_MILLIS = 100;
   private static final Quota QUOTA = new Quota(QuotaUnit.REQUESTS, 100, 50, 1);
 
-  /** Usage here and elsewhere was looked at one by one, and the time was too short. */
+  /**
+   * Guards against a Retry-After that is too short because the usage of this entry and that of the
+   * others are considered separately.
+   */
   @Property(seed = "30", tries = 300)
   void accountIsAdmittedAfterItsRetryAfter(
       @ForAll @Size(min = 1, max = 30) List<@IntRange(min = -300, max = 300) Integer> taken) {
@@ -30,16 +33,18 @@
       now += STEP_MILLIS;
       drawn.refill(ENTRIES, ENTRIES, now);
       if (units < 0) {
-        drawn.takenElsewhere(-units, now);
+        drawn.chargeRemote(-units, now);
       } else {
-        drawn.take(units, now);
+        drawn.charge(units, now);
       }
     }
-    drawn.confirmed();
-    if (!drawn.open(ENTRIES, ENTRIES, now)) {
-      long back = now + drawn.openAfterMillis(ENTRIES, ENTRIES, now);
+    drawn.remoteUsageUpdated();
+    if (!drawn.mayAdmit(ENTRIES, ENTRIES, now)) {
+      long back = now + drawn.retryAfterMillis(ENTRIES, ENTRIES, now);
       drawn.refill(ENTRIES, ENTRIES, back);
-      assertTrue(drawn.open(ENTRIES, ENTRIES, back), "not open at " + back);
+      assertTrue(
+          drawn.mayAdmit(ENTRIES, ENTRIES, back),
+          "request not admitted after the stated time, at " + back);
     }
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/quota/QuotaMeterTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/quota/QuotaMeterTest.java
@@ -26,24 +26,26 @@
       new QuotaTolerance(WINDOW_MILLIS, OVERSHOOT - 1, SLACK, QuotaTolerance.DEFAULT_USED_SHARE);
 
   /**
-   * Calm load: every account asks for less than its quota, at entries that its callers reach
-   * unevenly. Fixed shares refuse what is within the quota; entries that know of each other do not.
+   * The account requests less than its quota, at entries that its callers reach unevenly. Fixed
+   * shares refuse requests within the quota; entries that exchange their usage do not.
    */
   @Property(tries = 10, seed = "20261203")
-  void callersWithinTheQuotaAreNotRefused(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
+  void requestsWithinTheQuotaAreNotRefused(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
     Quota quota = QuotaSimulation.tokens(60_000, 60_000);
     QuotaSimulation shared = new QuotaSimulation(ENTRIES, quota, true, 2, seed);
     QuotaSimulation fixed = new QuotaSimulation(ENTRIES, quota, false, 2, seed);
     for (QuotaSimulation one : new QuotaSimulation[] {shared, fixed}) {
       one.run(3_000, 33_000, LONG_PROMPT, 1);
-      one.forgetCounts();
+      one.resetCounts();
       one.run(20_000, 33_000, LONG_PROMPT, 1);
     }
-    assertTrue(shared.refusedShare() < 0.02, "refused " + shared.refusedShare());
-    assertTrue(fixed.refusedShare() > 0.1, "refused " + fixed.refusedShare());
+    assertTrue(shared.refusedFraction() < 0.02, "refused " + shared.refusedFraction());
+    assertTrue(fixed.refusedFraction() > 0.1, "refused " + fixed.refusedFraction());
   }
 
-  /** An account that asks for many times its quota got more than it at many entries together. */
+  /**
+   * Guards against an account that requests many times its quota and exceeds it over all entries.
+   */
   @Property(tries = 20, seed = "20261203")
   void hotAccountStaysWithinTheQuota(
       @ForAll @LongRange(min = 29_000, max = 300_000) long rate,
@@ -62,9 +64,9 @@
         "admitted " + all.admittedSince(all.now() - 8_000) + " of " + 8 * rate);
   }
 
-  /** Entries that are cut off from the relays went on as if the whole quota were theirs. */
+  /** Guards against entries cut off from the relays that go on using the whole quota. */
   @Property(tries = 20, seed = "20261203")
-  void entriesThatCannotReachEachOtherStayWithinTheQuota(
+  void partitionedEntriesStayWithinTheQuota(
       @ForAll @LongRange(min = 29_000, max = 300_000) long rate,
       @ForAll @IntRange(min = 2, max = 8) int times,
       @ForAll @IntRange(min = 1, max = ENTRIES) int cut,
@@ -74,19 +76,21 @@
         new QuotaSimulation(ENTRIES, QuotaSimulation.tokens(rate, rate), true, 2, seed, TOLERANCE);
     all.run(6_000, hotBefore ? (double) rate * times : rate / 1.8, LONG_PROMPT, 1);
     for (int i = 0; i < cut; i++) {
-      all.cut(i, true);
+      all.setPartitioned(i, true);
     }
     all.run(9_000, (double) rate * times, LONG_PROMPT, 1);
     for (int i = 0; i < cut; i++) {
-      all.cut(i, false);
+      all.setPartitioned(i, false);
     }
     all.run(9_000, (double) rate * times, LONG_PROMPT, 1);
     assertWithin(all, rate, 0);
   }
 
-  /** Guards against a partition so long that each side takes the other one for gone. */
+  /**
+   * Guards against a partition so long that each side no longer counts the entries of the other.
+   */
   @Property(tries = 10, seed = "20261203")
-  void entriesThatLongCannotReachEachOtherStayWithinTheQuota(
+  void entriesStayWithinTheQuotaDuringLongPartition(
       @ForAll @LongRange(min = 29_000, max = 300_000) long rate,
       @ForAll @IntRange(min = 1, max = ENTRIES) int cut,
       @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
@@ -94,24 +98,24 @@
         new QuotaSimulation(ENTRIES, QuotaSimulation.tokens(rate, rate), true, 2, seed, TOLERANCE);
     all.run(6_000, 2.0 * rate, LONG_PROMPT, 1);
     for (int i = 0; i < cut; i++) {
-      all.cut(i, true);
+      all.setPartitioned(i, true);
     }
     all.run(3_000, 2.0 * rate, LONG_PROMPT, 1);
     for (int i = 0; i < cut; i++) {
-      all.abandon(i, true);
+      all.setPartitionDetected(i, true);
     }
     all.run(40_000, 2.0 * rate, LONG_PROMPT, 1);
     for (int i = 0; i < cut; i++) {
-      all.cut(i, false);
-      all.abandon(i, false);
+      all.setPartitioned(i, false);
+      all.setPartitionDetected(i, false);
     }
     all.run(9_000, 2.0 * rate, LONG_PROMPT, 1);
     assertWithin(all, rate, 0);
   }
 
-  /** Entries that all start again granted every account its burst a second time. */
+  /** Guards against a restart of all entries that grants every account its burst a second time. */
   @Property(tries = 20, seed = "20261203")
-  void restartOfAllGrantsNoBurstTwice(
+  void restartOfAllEntriesDoesNotGrantBurstTwice(
       @ForAll @LongRange(min = 29_000, max = 300_000) long rate,
       @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
     QuotaSimulation all =
@@ -124,9 +128,9 @@
     assertWithin(all, rate, 0);
   }
 
-  /** A quota that is lowered far below what an account asks must hold one window later. */
+  /** A quota lowered far below the requested rate must be enforced one window later. */
   @Property(tries = 20, seed = "20261203")
-  void loweredQuotaHoldsAfterOneWindow(
+  void loweredQuotaIsEnforcedAfterOneWindow(
       @ForAll @IntRange(min = 2, max = 8) int times,
       @ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
     long before = 250_000;
@@ -141,9 +145,9 @@
     assertWithin(all, after, changed + WINDOW_MILLIS);
   }
 
-  /** A relay that is lost for good hid what entries admitted. */
+  /** Guards against a permanently lost relay that hides what entries admitted. */
   @Test
-  void secondRelayCountsWhatTheFirstMissed() {
+  void secondRelayReportsUsageThatTheFirstMissed() {
     QuotaMeter<String> meter = meter(1_000, 1_000);
     meter.opened("r1");
     meter.opened("r2");
@@ -154,9 +158,9 @@
     assertInstanceOf(QuotaDecision.Exceeded.class, meter.admit(QuotaSimulation.ACCOUNT, 1, 1_100));
   }
 
-  /** The same usage from two relays counted twice. */
+  /** Guards against usage that is counted twice because two relays report it. */
   @Test
-  void usageThatBothRelaysReportCountsOnce() {
+  void usageReportedByBothRelaysCountsOnce() {
     QuotaMeter<String> meter = meter(1_000, 1_000);
     meter.opened("r1");
     meter.opened("r2");
@@ -166,9 +170,9 @@
     assertInstanceOf(QuotaDecision.Admitted.class, meter.admit(QuotaSimulation.ACCOUNT, 1, 1_000));
   }
 
-  /** What never ran was charged, and callers within the quota were refused. */
+  /** Guards against refusals within the quota because requests that never ran stay charged. */
   @Test
-  void whatDidNotRunIsGivenBack() {
+  void requestThatDidNotRunIsRefunded() {
     QuotaMeter<String> meter = meter(1_000, 1_000);
     QuotaDecision.Admitted first = admitted(meter, 5_000, 1_000);
     assertInstanceOf(QuotaDecision.Exceeded.class, meter.admit(QuotaSimulation.ACCOUNT, 1, 1_001));
@@ -178,9 +182,9 @@
     assertEquals(Map.of(), meter.takeIncrements("r1"));
   }
 
-  /** A caller that came back at the stated time was refused again. */
+  /** Guards against a caller that is refused again when it retries at the stated time. */
   @Test
-  void retryAfterIsTrueWhenNobodyElseAsks() {
+  void requestIsAdmittedAfterItsRetryAfter() {
     QuotaMeter<String> meter = meter(1_000, 1_000);
     admitted(meter, 1_700, 1_000);
     QuotaDecision.Exceeded exceeded =
@@ -190,7 +194,7 @@
   }
 
   @Test
-  void accountWithoutQuotaIsNeverRefused() {
+  void unlimitedAccountIsNeverRefused() {
     QuotaMeter<String> meter = new QuotaMeter<>(QuotaSettings.DEFAULT, QuotaTolerance.NONE);
     AccountName name = new AccountName("free");
     meter.configured(
@@ -199,7 +203,7 @@
     assertEquals(false, meter.active());
   }
 
-  /** One entry and nobody else: it may use everything. */
+  /** Creates the meter of a single entry, which may use the whole quota. */
   private static QuotaMeter<String> meter(long rate, long burst) {
     QuotaMeter<String> meter = new QuotaMeter<>(QuotaSettings.DEFAULT, QuotaTolerance.NONE);
     meter.configured(
@@ -221,7 +225,7 @@
 
   private static void assertWithin(QuotaSimulation all, long rate, long since) {
     long allowed = Math.round((rate * WINDOW_MILLIS / 1_000 + rate) * OVERSHOOT) + SLACK;
-    long most = all.most(WINDOW_MILLIS, since);
-    assertTrue(most <= allowed, "admitted " + most + " of " + allowed);
+    long max = all.maxInWindow(WINDOW_MILLIS, since);
+    assertTrue(max <= allowed, "admitted " + max + " units in a window, allowed " + allowed);
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/quota/QuotaSimulation.java
+++ b/runtime/src/test/java/org/hornbeamusher/quota/QuotaSimulation.java
@@ -13,8 +13,8 @@
 import org.hornbeamusher.accounts.QuotaUnit;
 
 /**
- * Entries that share the quota of one account through two relays, without a network: messages take
- * time, entries are cut off and start again, and callers reach entries unevenly.
+ * Simulation of entries that share the quota of one account through two relays: messages are
+ * delayed, entries are cut off and restarted, and callers reach the entries unevenly.
  */
 final class QuotaSimulation {
 
@@ -38,20 +38,20 @@
   private double idealLevel;
   private long idealMillis;
 
-  /** Asked within the quota, as one bucket that sees every request decides it. */
-  private long asked;
+  /** Units requested within the quota, as decided by one ideal bucket that sees every request. */
+  private long requestedUnits;
 
-  /** Refused although it was within the quota. */
-  private long refused;
+  /** Units refused although they were within the quota. */
+  private long refusedUnits;
 
   private long messages;
 
   /**
    * Creates entries that have just started.
    *
-   * @param count how many
-   * @param exchanging whether they report to relays; otherwise each keeps to a fixed share
-   * @param delayMillis of each message
+   * @param count number of entries
+   * @param exchanging whether they report to relays; otherwise each is limited to a fixed share
+   * @param delayMillis delay of each message
    */
   QuotaSimulation(int count, Quota quota, boolean exchanging, long delayMillis, long seed) {
     this(count, quota, exchanging, delayMillis, seed, QuotaTolerance.NONE);
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Starts an entry again: it knows nothing. */
+  /** Restarts an entry, which loses its state. */
   void restart(int entry) {
     Entry restarted = entries.get(entry);
     restarted.meter = new QuotaMeter<>(settings, tolerance);
@@ -104,18 +104,20 @@
         Map.of(ACCOUNT, new ClientAccount(ACCOUNT, OptionalInt.empty(), quota)), now);
   }
 
-  /** Cuts an entry off from the relays, or lets it reach them again. */
-  void cut(int entry, boolean off) {
-    entries.get(entry).cut = off;
+  /** Cuts an entry off from the relays, or reconnects it. */
+  void setPartitioned(int entry, boolean partitioned) {
+    entries.get(entry).partitioned = partitioned;
   }
 
-  /** Both ends of an entry's connections notice that it is cut off, or that it is not any more. */
-  void abandon(int entry, boolean off) {
+  /**
+   * Lets both ends of an entry's connections detect that it is cut off, or that it is reachable.
+   */
+  void setPartitionDetected(int entry, boolean partitioned) {
     Entry changed = entries.get(entry);
     changed.generation++;
-    changed.abandoned = off;
+    changed.partitionDetected = partitioned;
     for (int relay = 0; relay < RELAYS; relay++) {
-      if (off) {
+      if (partitioned) {
         relays.get(relay).closed(entry, now);
         changed.meter.closed(relay);
       } else {
@@ -126,21 +128,21 @@
   }
 
   /**
-   * Lets time pass while callers ask.
+   * Advances the time while callers send requests.
    *
-   * @param perSecond units that are asked of all entries together
-   * @param cost units of a request
-   * @param uneven how uneven the entries' parts are; 0 for even
+   * @param perSecond units requested per second at all entries together
+   * @param cost units of each request
+   * @param uneven how unevenly the requests are distributed over the entries; 0 for evenly
    */
   void run(long millis, double perSecond, long cost, double uneven) {
-    double[] parts = parts(uneven);
+    double[] shares = shares(uneven);
     for (long end = now + millis; now < end; now += STEP_MILLIS) {
       deliver();
       for (int i = 0; i < entries.size(); i++) {
-        double expected = perSecond * parts[i] * STEP_MILLIS / 1_000 / cost;
+        double expected = perSecond * shares[i] * STEP_MILLIS / 1_000 / cost;
         for (double left = expected; left > 0; left--) {
           if (random.nextDouble() < left) {
-            ask(i, cost);
+            request(i, cost);
           }
         }
         report(i);
@@ -149,28 +151,28 @@
     }
   }
 
-  private double[] parts(double uneven) {
-    double[] parts = new double[entries.size()];
+  private double[] shares(double uneven) {
+    double[] shares = new double[entries.size()];
     double sum = 0;
     Random fixed = new Random(7);
-    for (int i = 0; i < parts.length; i++) {
-      parts[i] = Math.exp(uneven * fixed.nextGaussian());
-      sum += parts[i];
+    for (int i = 0; i < shares.length; i++) {
+      shares[i] = Math.exp(uneven * fixed.nextGaussian());
+      sum += shares[i];
     }
-    for (int i = 0; i < parts.length; i++) {
-      parts[i] /= sum;
+    for (int i = 0; i < shares.length; i++) {
+      shares[i] /= sum;
     }
-    return parts;
+    return shares;
   }
 
-  private void ask(int entry, long cost) {
-    double back = quota.ratePerSecond() * (now - idealMillis) / 1_000.0;
-    idealLevel = Math.min(quota.burst(), idealLevel + back);
+  private void request(int entry, long cost) {
+    double refilled = quota.ratePerSecond() * (now - idealMillis) / 1_000.0;
+    idealLevel = Math.min(quota.burst(), idealLevel + refilled);
     idealMillis = now;
     boolean within = idealLevel >= cost;
     if (within) {
       idealLevel -= cost;
-      asked += cost;
+      requestedUnits += cost;
     }
     Entry at = entries.get(entry);
     if (at.meter.admit(ACCOUNT, cost, now) instanceof QuotaDecision.Admitted) {
@@ -179,13 +181,13 @@
         at.dueMillis = Math.min(at.dueMillis, now + settings.urgentMillis());
       }
     } else if (within) {
-      refused += cost;
+      refusedUnits += cost;
     }
   }
 
   private void report(int number) {
     Entry entry = entries.get(number);
-    if (!exchanging || entry.abandoned || now < entry.dueMillis) {
+    if (!exchanging || entry.partitionDetected || now < entry.dueMillis) {
       return;
     }
     entry.dueMillis = now + settings.intervalMillis(entry.meter.entries());
@@ -235,7 +237,7 @@
     }
   }
 
-  /** What is sent to or by an entry that is cut off stays on its connection. */
+  /** Messages to or from an entry that is cut off are held back until it is reachable again. */
   private void send(int entry, Runnable arrival) {
     messages++;
     network.add(new Delivery(now + delayMillis, entry, arrival));
@@ -245,7 +247,7 @@
     List<Delivery> held = new ArrayList<>();
     while (!network.isEmpty() && network.peek().atMillis <= now) {
       Delivery next = network.poll();
-      if (entries.get(next.entry).cut) {
+      if (entries.get(next.entry).partitioned) {
         held.add(next);
       } else {
         next.arrival.run();
@@ -258,9 +260,9 @@
     return now;
   }
 
-  /** Returns the most that was admitted in any window of a length since a moment. */
-  long most(long windowMillis, long sinceMillis) {
-    long most = 0;
+  /** Returns the maximum number of units admitted in any window of a length since a time. */
+  long maxInWindow(long windowMillis, long sinceMillis) {
+    long max = 0;
     long sum = 0;
     int from = 0;
     for (long[] one : admitted) {
@@ -272,23 +274,23 @@
       while (admitted.get(from)[0] <= one[0] - windowMillis) {
         sum -= admitted.get(from++)[1];
       }
-      most = Math.max(most, sum);
+      max = Math.max(max, sum);
     }
-    return most;
+    return max;
   }
 
   long admittedSince(long sinceMillis) {
     return admitted.stream().filter(one -> one[0] >= sinceMillis).mapToLong(one -> one[1]).sum();
   }
 
-  /** Returns how much was refused of what was within the quota. */
-  double refusedShare() {
-    return asked == 0 ? 0 : (double) refused / asked;
+  /** Returns the fraction refused of the units requested within the quota. */
+  double refusedFraction() {
+    return requestedUnits == 0 ? 0 : (double) refusedUnits / requestedUnits;
   }
 
-  void forgetCounts() {
-    asked = 0;
-    refused = 0;
+  void resetCounts() {
+    requestedUnits = 0;
+    refusedUnits = 0;
     messages = 0;
   }
 
@@ -305,8 +307,8 @@
     private QuotaMeter<Integer> meter;
     private int generation;
     private long dueMillis;
-    private boolean cut;
-    private boolean abandoned;
+    private boolean partitioned;
+    private boolean partitionDetected;
   }
 
   private record Delivery(long atMillis, int entry, Runnable arrival) {}
--- a/runtime/src/test/java/org/hornbeamusher/quota/UsageRelayTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/quota/UsageRelayTest.java
@@ -10,9 +10,9 @@
 
   private final UsageRelay<Integer> relay = new UsageRelay<>(QuotaSettings.DEFAULT);
 
-  /** Guards against an entry behind a partition whose share is given to the others. */
+  /** Guards against giving the share of a partitioned entry to the others. */
   @Test
-  void entryThatIsLostIsCountedForAnHour() {
+  void lostEntryIsCountedForAnHour() {
     relay.opened(1, "a");
     relay.opened(2, "b");
     relay.closed(2, 0);
@@ -20,9 +20,9 @@
     assertEquals(1, relay.size(HOUR_MILLIS));
   }
 
-  /** Guards against entries that are counted once for each of their starts. */
+  /** Guards against counting an entry once for each of its restarts. */
   @Test
-  void entryThatStartsAgainTakesItsPlace() {
+  void restartedEntryIsCountedOnce() {
     relay.opened(1, "a");
     relay.opened(2, "a");
     relay.closed(1, 0);
@@ -32,9 +32,9 @@
     assertEquals(1, relay.size(0));
   }
 
-  /** Guards against a share that is kept for an entry that was taken out of service. */
+  /** Guards against keeping a share for an entry that was taken out of service. */
   @Test
-  void entryThatLeavesIsNotCounted() {
+  void leavingEntryIsNotCountedOnceDisconnected() {
     relay.opened(1, "a");
     relay.opened(2, "b");
     relay.left(2);
