--- a/runtime/src/main/java/org/hornbeamusher/accounts/AccountDirectory.java
+++ b/runtime/src/main/java/org/hornbeamusher/accounts/AccountDirectory.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * The client accounts of one configuration by their keys. Immutable.
+ * The client accounts of one configuration, indexed by their keys. Immutable.
  *
- * <p>A configuration without client accounts asks no caller for a key.
+ * <p>With a configuration without client accounts, callers need no key.
  */
 public final class AccountDirectory {
 
@@ -31,7 +31,7 @@
    * Creates a directory.
    *
    * @param byKey the account of each key
-   * @param accounts every account, also one whose last key was taken away
+   * @param accounts all accounts, including those whose last key was revoked
    */
   public AccountDirectory(
       Map<AccountKey, ClientAccount> byKey, Collection<ClientAccount> accounts) {
@@ -49,17 +49,17 @@
   }
 
   /**
-   * Finds the account that holds a key.
+   * Finds the account of a key.
    *
    * @param key the key
-   * @return empty when no account holds it
+   * @return the account, or empty if no account has this key
    */
   public Optional<ClientAccount> holder(AccountKey key) {
     return Optional.ofNullable(byKey.get(key));
   }
 
   /**
-   * Returns every account.
+   * Returns all accounts.
    *
    * @return the accounts by name
    */
--- a/runtime/src/main/java/org/hornbeamusher/accounts/AccountKey.java
+++ b/runtime/src/main/java/org/hornbeamusher/accounts/AccountKey.java
@@ -1,10 +1,10 @@
 package org.hornbeamusher.accounts;
 
 /**
- * The secret by which a caller shows which client account it belongs to.
+ * The secret key that authenticates a caller as belonging to a client account.
  *
- * <p>Its text never leaves this class: {@link #toString} shows nothing of it, so that neither a log
- * line nor a failure's message can carry it.
+ * <p>Its text never leaves this class: {@link #toString} does not reveal it, so neither a log line
+ * nor an error message can contain it.
  */
 public final class AccountKey {
 
@@ -14,11 +14,11 @@
    * Creates a key.
    *
    * @param secret the text as the caller sends it; not empty
-   * @throws IllegalArgumentException when it is empty
+   * @throws IllegalArgumentException if it is empty
    */
   public AccountKey(String secret) {
     if (secret.isEmpty()) {
-      throw new IllegalArgumentException("an account key has no empty form");
+      throw new IllegalArgumentException("account key must not be empty");
     }
     this.secret = secret;
   }
@@ -33,7 +33,7 @@
     return secret.hashCode();
   }
 
-  /** Shows nothing of the secret. */
+  /** Does not reveal the secret. */
   @Override
   public String toString() {
     return "AccountKey";
--- a/runtime/src/main/java/org/hornbeamusher/accounts/AccountName.java
+++ b/runtime/src/main/java/org/hornbeamusher/accounts/AccountName.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.accounts;
 
 /**
- * The name of a client account, by which logs, metrics and endpoints know it.
+ * The name of a client account, which identifies it in logs, in metrics and to endpoints.
  *
  * @param value the name; not empty
  */
--- a/runtime/src/main/java/org/hornbeamusher/accounts/ClientAccount.java
+++ b/runtime/src/main/java/org/hornbeamusher/accounts/ClientAccount.java
@@ -3,10 +3,10 @@
 import java.util.OptionalInt;
 
 /**
- * Who a request is run for.
+ * A client account, for which requests are run.
  *
  * @param name the account's name
- * @param rank the urgency of all its requests, 0 first; empty when their routes decide
- * @param quota how much it may ask
+ * @param rank the priority of all its requests, 0 being the highest; empty if their routes decide
+ * @param quota the limit of its usage
  */
 public record ClientAccount(AccountName name, OptionalInt rank, Quota quota) {}
--- a/runtime/src/main/java/org/hornbeamusher/accounts/QuotaUnit.java
+++ b/runtime/src/main/java/org/hornbeamusher/accounts/QuotaUnit.java
@@ -1,9 +1,9 @@
 package org.hornbeamusher.accounts;
 
-/** What a quota counts. */
+/** The unit in which a quota counts usage. */
 public enum QuotaUnit {
   /** Each request counts as one. */
   REQUESTS,
-  /** A request counts as its prompt tokens and its most output tokens together. */
+  /** A request counts as the sum of its prompt tokens and its maximum output tokens. */
   TOKENS
 }
--- a/runtime/src/main/java/org/hornbeamusher/accounts/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/accounts/package-info.java
@@ -1,2 +1,2 @@
-/** Client accounts, their keys and their quotas, as one configuration states them. */
+/** Client accounts of a configuration, with their keys and quotas. */
 package org.hornbeamusher.accounts;
