--- a/runtime/src/main/java/org/hornbeamusher/pacing/LocalPacer.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/LocalPacer.java
@@ -3,58 +3,58 @@
 import java.util.SplittableRandom;
 
 /**
- * Paces one agent's loads without anybody's help: a static share of the store's rate.
+ * Limits one agent's loads without coordination, to a static share of the weight store's rate.
  *
- * <p>Used while the permit holder is out of reach. Each of n agents begins a load at most every n
- * gaps on average, so that together they stay within the store's rate even when all want loads. The
- * first turn falls anywhere within the first n gaps and every further one is drawn between half and
- * one and a half times n gaps, so that agents which lost the holder in the same moment do not load
- * in the same moment ever after.
+ * <p>Used while the permit holder is unreachable. Each of n agents starts a load at most every n
+ * load intervals on average, so that together they stay within the store's rate even if all want
+ * loads. The first load is scheduled at random within the first n intervals, and each further one
+ * between half and one and a half times n intervals later, so that agents which lost the holder at
+ * the same time do not keep loading at the same time.
  *
- * <p>It wastes what the others do not use: with 12 agents and one that wants loads, that one gets a
- * twelfth of the store. It is therefore the fallback and not the rule.
+ * <p>It wastes the rate that the other agents do not use: with 12 agents of which one wants loads,
+ * that one gets a twelfth of the store's rate. It is therefore only the fallback.
  */
 public final class LocalPacer {
 
   private static final long NOT_STARTED = Long.MIN_VALUE;
 
-  private final long gapMillis;
+  private final long intervalMillis;
   private final SplittableRandom random;
   private long nextMillis = NOT_STARTED;
 
   /**
    * Creates a pacer.
    *
-   * @param gapMillis least time between two loads of the whole store
-   * @param seed differs between agents
+   * @param intervalMillis minimum interval between two loads from the store by all agents together
+   * @param seed random seed, which must differ between agents
    */
-  public LocalPacer(long gapMillis, long seed) {
-    this.gapMillis = gapMillis;
+  public LocalPacer(long intervalMillis, long seed) {
+    this.intervalMillis = intervalMillis;
     this.random = new SplittableRandom(seed);
   }
 
   /**
-   * Decides whether a load may begin; a turn that is given counts as used.
+   * Decides whether a load may start now; if so, the load counts as started.
    *
-   * @param agents how many agents load from the store, as far as known
+   * @param agents number of agents that load from the store, as far as known
    * @param now milliseconds
-   * @return whether to load now
+   * @return whether to load now, or when to try again
    */
   public PaceDecision turn(int agents, long now) {
-    long round = Math.max(1, agents) * gapMillis;
+    long roundMillis = Math.max(1, agents) * intervalMillis;
     if (nextMillis == NOT_STARTED) {
-      nextMillis = now + random.nextLong(round);
+      nextMillis = now + random.nextLong(roundMillis);
     }
-    // The clock stepped back, or there are far fewer agents than when the turn was drawn.
-    nextMillis = Math.min(nextMillis, now + round + round / 2);
+    // The clock stepped back, or there are far fewer agents than when the next load was scheduled.
+    nextMillis = Math.min(nextMillis, now + roundMillis + roundMillis / 2);
     if (now < nextMillis) {
       return new PaceDecision.Wait(nextMillis);
     }
-    nextMillis = now + round / 2 + random.nextLong(round + 1);
+    nextMillis = now + roundMillis / 2 + random.nextLong(roundMillis + 1);
     return new PaceDecision.Go();
   }
 
-  /** Forgets the drawn turn: the holder is reached again. */
+  /** Forgets the scheduled load, because the holder is reachable again. */
   public void rest() {
     nextMillis = NOT_STARTED;
   }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PaceDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PaceDecision.java
@@ -1,15 +1,15 @@
 package org.hornbeamusher.pacing;
 
-/** Whether an agent that paces itself may load. */
+/** Whether an agent that paces itself may start a load. */
 public sealed interface PaceDecision {
 
-  /** It may load one adapter now. */
+  /** The agent may load one adapter now. */
   record Go() implements PaceDecision {}
 
   /**
-   * It may not yet.
+   * The agent must not start a load yet.
    *
-   * @param untilMillis when to ask again
+   * @param untilMillis when to try again
    */
   record Wait(long untilMillis) implements PaceDecision {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PartnerFairShares.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PartnerFairShares.java
@@ -8,53 +8,55 @@
 import org.hornbeamusher.ids.PartnerId;
 
 /**
- * Holds each partner to its guaranteed share of turns that are handed out one at a time.
+ * Weighted fair sharing between partners of load permits that are granted one at a time. Also used
+ * for the loads of one endpoint, each of which counts as a permit.
  *
- * <p>Whoever orders turns by demand alone lets the partner that states the greater demand have them
- * all. Here every turn is charged to its partner at 1 over its share, and of the partners that wait
- * the one charged least is entitled to the next (any of them when they are level). Over any time in
- * which both wait neither gets more than its share and one turn.
+ * <p>Each permit is charged to its partner at 1 divided by the partner's share, and of the partners
+ * that want a permit, the one charged least is entitled to the next (any of them if they are
+ * equal). While two partners both want permits, neither gets more than its share plus one permit,
+ * over any period. Granting by demand alone would give all permits to the partner that states the
+ * greater demand.
  *
- * <p>A partner that waited for nothing returns level with the least of those that did: what it left
- * unused was lent for good.
+ * <p>A partner that did not want permits for a time returns with the lowest charge of those that
+ * did: it gets no credit for the permits that it did not use.
  *
- * <p>Example: equal shares, A floods, B wants one turn: it is B's next turn, or the one after. With
- * shares 3 and 1, B's turn costs three times A's.
+ * <p>Example: equal shares, A floods, B wants one permit: B gets the next permit or the one after.
+ * With shares 3 and 1, a permit of B costs three times as much as one of A.
  *
- * <p>Rejected: letting a partner run some turns ahead so that urgent work comes first. With twelve
- * agents that each wait six seconds between their own turns, a lead of two turns at an agent would
- * be twelve seconds to the other partner, as long as its deadlines.
+ * <p>Rejected alternative: letting a partner run some permits ahead so that urgent loads come
+ * first. With twelve agents that each wait six seconds between their own permits, a lead of two
+ * permits at an agent would delay the other partner by twelve seconds, as long as its deadlines.
  */
-public final class PartnerTurns {
+public final class PartnerFairShares {
 
-  private static final double ROUNDING = 1e-9;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private final Map<PartnerId, Integer> shares;
   private final Map<PartnerId, Double> tags = new HashMap<>();
 
-  /** The least tag of a partner that waited when a turn was charged; never falls. */
+  /** Lowest tag of the waiting partners when a permit was charged; never decreases. */
   private double virtualTag;
 
   /**
-   * Creates turns of which none was taken.
+   * Creates an instance without charges.
    *
-   * @param shares each partner's guaranteed part; 1 for those not named
+   * @param shares weight of each partner's guaranteed share; 1 for a partner not listed
    */
-  public PartnerTurns(Map<PartnerId, Integer> shares) {
+  public PartnerFairShares(Map<PartnerId, Integer> shares) {
     this.shares = Map.copyOf(shares);
   }
 
   /**
-   * Returns who may take the next turn.
+   * Returns the partners that are entitled to the next permit.
    *
-   * @param waiting the partners that want one
-   * @return those of them that are entitled; empty only if none wants one
+   * @param waiting the partners that want a permit
+   * @return those of them that are entitled; empty only if no partner wants one
    */
   public Set<PartnerId> entitled(Collection<PartnerId> waiting) {
-    double least = waiting.stream().mapToDouble(this::tag).min().orElse(0);
+    double lowestTag = waiting.stream().mapToDouble(this::tag).min().orElse(0);
     Set<PartnerId> entitled = new HashSet<>();
     for (PartnerId partner : waiting) {
-      if (tag(partner) <= least + ROUNDING) {
+      if (tag(partner) <= lowestTag + ROUNDING_TOLERANCE) {
         entitled.add(partner);
       }
     }
@@ -62,10 +64,10 @@
   }
 
   /**
-   * Charges a turn.
+   * Charges a permit.
    *
-   * @param partner who takes it
-   * @param waiting the partners that want one, the taker among them
+   * @param partner the partner that gets it
+   * @param waiting the partners that want a permit, including that partner
    */
   public void charge(PartnerId partner, Collection<PartnerId> waiting) {
     virtualTag =
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitDecision.java
@@ -2,23 +2,23 @@
 
 import org.hornbeamusher.ids.EndpointId;
 
-/** What a permit holder does next. */
+/** The next action of a permit holder. */
 public sealed interface PermitDecision {
 
   /**
-   * An agent may load one adapter now.
+   * Grants an agent the permit to load one adapter now.
    *
-   * @param agent which one
-   * @param grant tells this turn from earlier ones of the same agent
-   * @param expiresMillis when the turn ends though nothing is heard
+   * @param agent the agent
+   * @param grant number that distinguishes this permit from earlier ones of the same agent
+   * @param expiresMillis when the permit expires if the agent does not release it
    */
   record Grant(EndpointId agent, long grant, long expiresMillis) implements PermitDecision {}
 
   /**
-   * Nobody may load now.
+   * No agent may load now.
    *
-   * @param untilMillis when to look again though nothing happened; {@link Long#MAX_VALUE} when only
-   *     an ask can change it
+   * @param untilMillis when to poll again if no event occurs before; {@link Long#MAX_VALUE} if only
+   *     a permit request can change the decision
    */
   record Hold(long untilMillis) implements PermitDecision {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitHolderChoice.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitHolderChoice.java
@@ -7,23 +7,24 @@
 import org.hornbeamusher.routing.Rendezvous;
 
 /**
- * Finds the agent that holds the permits of a weight store.
+ * Determines the agent that holds the load permits of a weight store, by rendezvous hashing.
  *
  * <p>Every agent ranks the live agents of the store by a hash of store and agent together and takes
- * the first, so agents that know the same list agree without talking, and only the loss of the
- * first one moves the duty. The list lags, so for some seconds two agents may be taken for the
- * holder; each paces its own askers and the store sees up to twice the rate. That costs speed only.
+ * the first, so agents that know the same list agree without communication, and the holder changes
+ * only when it is lost or an agent that ranks before it joins. The list may be stale, so for some
+ * seconds two agents may act as holder; each paces the agents that request permits from it, and the
+ * store may get up to twice the rate. That costs speed only.
  */
 public final class PermitHolderChoice {
 
   private PermitHolderChoice() {}
 
   /**
-   * Finds the holder.
+   * Determines the holder.
    *
    * @param store the weight store's name
    * @param live the agents that load from it and are not leaving
-   * @return the holder, or empty when no agent is live
+   * @return the holder, or empty if no agent is live
    */
   public static Optional<EndpointId> holder(String store, Collection<EndpointId> live) {
     long key = Rendezvous.hash(store);
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitLedger.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitLedger.java
@@ -9,50 +9,52 @@
 import org.hornbeamusher.ids.PartnerId;
 
 /**
- * Hands out the turns at one weight store. Kept by the agent that holds the store's permits; not
- * safe for use by several threads at once.
+ * Allocates the load permits of one weight store. Runs at the agent that is the store's permit
+ * holder. Not thread-safe.
  *
- * <p>Load pattern: a shift in popularity or a restart of every engine makes all agents of both
- * partners want loads in the same second, and the store gives about two a second, one at a time at
- * full speed. Unpaced, loads run side by side and each takes as many times longer as there are:
- * with twelve agents the first adapter is there after six seconds instead of half a second, and the
- * most wanted one comes no sooner than the rest.
+ * <p>A permit is granted when fewer than {@link PermitSettings#maxConcurrentLoads} are outstanding
+ * and the last one was granted at least {@link PermitSettings#gapMillis} ago. Among the partners
+ * that {@link PartnerFairShares} finds entitled, it goes to the agent with the greatest demand,
+ * increased by its waiting time: {@code demand × (1 + waited / }{@value #AGEING_MILLIS}{@code ms)}.
+ * An agent with little demand is thus passed over for a bounded time only. An agent states the
+ * demand of the one adapter that it would load, and states it again when it has doubled or halved.
  *
- * <p>A turn is given when fewer than {@link PermitSettings#atOnce} are out and the last one began
- * at least {@link PermitSettings#gapMillis} ago. It goes, among the partners that {@link
- * PartnerTurns} finds entitled, to the agent with the greatest demand, raised by waiting: {@code
- * demand × (1 + waited / }{@value #AGEING_MILLIS}{@code ms)}. An agent with little demand is thus
- * passed over for a bounded time. Agents state the demand of the one adapter they would load, and
- * state it again when it has doubled or halved.
+ * <p>Without permits, a shift in popularity or a restart of every engine would make all agents of
+ * both partners load in the same second, while the store delivers about two loads a second, one at
+ * a time at full speed. Concurrent loads slow each other down in proportion: with twelve agents the
+ * first adapter is loaded after six seconds instead of half a second, and the adapter with the
+ * highest demand no sooner than the rest.
  *
- * <p>The ledger is soft state. When its agent is replaced, the next one starts with no turns out
- * and is told the demand within a second, as agents repeat their asks. Until then, or while two
- * agents each believe they hold the permits, a few loads overlap; that costs speed only, which is
- * why no lease guards it and why it works while the table is down. A turn whose agent crashed ends
- * by itself; one whose agent is known to be gone ends at once ({@link #lost}).
+ * <p>The state is soft. When the holder is replaced, the next one starts without outstanding
+ * permits and learns the demand within a second, as agents repeat their requests. Until then, or
+ * while two agents each act as holder, a few loads overlap; that costs speed only, so no lease
+ * guards the state, and permits work while the table is unavailable. The permit of a crashed agent
+ * expires; that of an agent known to be gone ends at once ({@link #lost}).
  *
- * <p>How fast it reacts: a new demand is met by the next turn, half a second at most when entitled.
- * It cannot swing, as it remembers nothing but the partners' charges and the asks.
+ * <p>Reaction time: a new demand is served by the next permit, after at most half a second if its
+ * partner is entitled. The allocation cannot oscillate, as the only state is the charges of the
+ * partners and the requests.
  *
- * <p>Rejected: a static share of the rate for each agent, which leaves the store idle whenever
- * fewer than all want loads (that is {@link LocalPacer}, kept for when the holder is out of reach);
- * a row in the table, which costs two writes a load and stops all loads when the table is down.
+ * <p>Rejected alternatives: a static share of the rate for each agent, which leaves the store idle
+ * unless all agents want loads (this is {@link LocalPacer}, used while the holder is unreachable);
+ * a row in the table, which costs two writes per load and stops all loads while the table is
+ * unavailable.
  */
 public final class PermitLedger {
 
   private static final double AGEING_MILLIS = 5_000;
 
-  /** Longest time in which an ask and a turn may pass each other on a connection. */
-  private static final long CROSSING = 300;
+  /** Maximum time for which a request and a grant may cross on a connection. */
+  private static final long CROSSING_MILLIS = 300;
 
   private final PermitSettings settings;
-  private final PartnerTurns turns;
-  private final Map<EndpointId, Ask> asks = new HashMap<>();
-  private final Map<EndpointId, PermitDecision.Grant> out = new HashMap<>();
-  private long lastBeganMillis = Long.MIN_VALUE;
-  private long nextGrant = 1;
+  private final PartnerFairShares partnerFairShares;
+  private final Map<EndpointId, Request> requests = new HashMap<>();
+  private final Map<EndpointId, PermitDecision.Grant> outstanding = new HashMap<>();
+  private long lastGrantMillis = Long.MIN_VALUE;
+  private long nextGrantId = 1;
 
-  private record Ask(PartnerId partner, double demand, long firstMillis, long lastMillis) {
+  private record Request(PartnerId partner, double demand, long firstMillis, long lastMillis) {
 
     double weight(long now) {
       return demand * (1 + Math.max(0, now - firstMillis) / AGEING_MILLIS);
@@ -60,24 +62,25 @@
   }
 
   /**
-   * Creates a ledger with no turns out.
+   * Creates an allocator without outstanding permits.
    *
-   * @param settings the store's figures
+   * @param settings the settings of the store
    */
   public PermitLedger(PermitSettings settings) {
     this.settings = settings;
-    this.turns = new PartnerTurns(settings.partnerShares());
+    this.partnerFairShares = new PartnerFairShares(settings.partnerShares());
   }
 
   /**
-   * Takes in an agent's demand. An agent asks only when it has no turn. So one that is still out is
-   * over or was lost on its way, unless it was given so recently that ask and turn have crossed;
-   * were such an ask kept, the agent would be given a second turn that it does not use, and the
-   * store would stand idle until that expires.
+   * Records the permit request of an agent. An agent requests a permit only when it has none. So a
+   * permit of the agent that is still outstanding has ended or was lost in transit, unless it was
+   * granted so recently that request and grant have crossed. Such a request is ignored: otherwise
+   * the agent would be granted a second permit that it does not use, and the store would be idle
+   * until that expires.
    *
-   * @param agent who asks
-   * @param partner whose requests wait for the load
-   * @param demand weighted waiting demand; 0 or less withdraws the ask and gives back a turn
+   * @param agent the agent
+   * @param partner the partner whose requests wait for the load
+   * @param demand weighted waiting demand; 0 or less withdraws the request and returns a permit
    * @param now milliseconds
    */
   public void ask(EndpointId agent, PartnerId partner, double demand, long now) {
@@ -85,98 +88,104 @@
       lost(agent);
       return;
     }
-    PermitDecision.Grant current = out.get(agent);
-    if (current != null && now < current.expiresMillis() - settings.expiryMillis() + CROSSING) {
+    PermitDecision.Grant current = outstanding.get(agent);
+    if (current != null
+        && now < current.expiresMillis() - settings.permitExpiryMillis() + CROSSING_MILLIS) {
       return;
     }
-    out.remove(agent);
-    Ask before = asks.get(agent);
+    outstanding.remove(agent);
+    Request before = requests.get(agent);
     long since = before == null ? now : before.firstMillis;
-    asks.put(agent, new Ask(partner, demand, since, now));
+    requests.put(agent, new Request(partner, demand, since, now));
   }
 
   /**
-   * Ends a turn.
+   * Releases a permit.
    *
-   * @param agent whose
-   * @param grant which; an older one is ignored
+   * @param agent the agent that holds it
+   * @param grant the number of the grant; ignored if it is not the agent's current one
    */
   public void done(EndpointId agent, long grant) {
-    PermitDecision.Grant current = out.get(agent);
+    PermitDecision.Grant current = outstanding.get(agent);
     if (current != null && current.grant() == grant) {
-      out.remove(agent);
+      outstanding.remove(agent);
     }
   }
 
   /**
-   * Forgets an agent that is gone, with its ask and its turn.
+   * Removes an agent that is gone, with its request and its permit.
    *
-   * @param agent which one
+   * @param agent the agent
    */
   public void lost(EndpointId agent) {
-    asks.remove(agent);
-    out.remove(agent);
+    requests.remove(agent);
+    outstanding.remove(agent);
   }
 
   /**
-   * Decides whether an agent gets a turn now. Called again until it holds.
+   * Grants the next permit if one is due. Must be called again until it returns no grant.
    *
    * @param now milliseconds
-   * @return a turn, or how long to hold
+   * @return a grant, or when to poll again
    */
   public PermitDecision poll(long now) {
-    out.values().removeIf(grant -> grant.expiresMillis() <= now);
-    asks.values().removeIf(ask -> ask.lastMillis + settings.askMillis() <= now);
-    if (asks.isEmpty()) {
+    outstanding.values().removeIf(grant -> grant.expiresMillis() <= now);
+    requests
+        .values()
+        .removeIf(request -> request.lastMillis + settings.requestExpiryMillis() <= now);
+    if (requests.isEmpty()) {
       return new PermitDecision.Hold(Long.MAX_VALUE);
     }
-    if (out.size() >= settings.atOnce()) {
+    if (outstanding.size() >= settings.maxConcurrentLoads()) {
       return new PermitDecision.Hold(firstExpiry());
     }
-    long free = nextBeginning(now);
-    if (now < free) {
-      return new PermitDecision.Hold(free);
+    long nextGrantMillis = nextGrantMillis(now);
+    if (now < nextGrantMillis) {
+      return new PermitDecision.Hold(nextGrantMillis);
     }
-    return grant(chosen(now).orElseThrow(), now);
+    return grant(chooseAgent(now).orElseThrow(), now);
   }
 
   private PermitDecision grant(EndpointId agent, long now) {
-    turns.charge(asks.get(agent).partner, waitingPartners());
-    asks.remove(agent);
-    lastBeganMillis = now;
+    partnerFairShares.charge(requests.get(agent).partner, waitingPartners());
+    requests.remove(agent);
+    lastGrantMillis = now;
     PermitDecision.Grant grant =
-        new PermitDecision.Grant(agent, nextGrant++, now + settings.expiryMillis());
-    out.put(agent, grant);
+        new PermitDecision.Grant(agent, nextGrantId++, now + settings.permitExpiryMillis());
+    outstanding.put(agent, grant);
     return grant;
   }
 
-  private Optional<EndpointId> chosen(long now) {
-    var entitled = turns.entitled(waitingPartners());
-    return asks.entrySet().stream()
+  private Optional<EndpointId> chooseAgent(long now) {
+    var entitled = partnerFairShares.entitled(waitingPartners());
+    return requests.entrySet().stream()
         .filter(entry -> entitled.contains(entry.getValue().partner))
         .max(
-            Comparator.<Map.Entry<EndpointId, Ask>>comparingDouble(
+            Comparator.<Map.Entry<EndpointId, Request>>comparingDouble(
                     entry -> entry.getValue().weight(now))
                 .thenComparing(Map.Entry::getKey, Comparator.reverseOrder()))
         .map(Map.Entry::getKey);
   }
 
   private List<PartnerId> waitingPartners() {
-    return asks.values().stream().map(Ask::partner).distinct().toList();
+    return requests.values().stream().map(Request::partner).distinct().toList();
   }
 
   private long firstExpiry() {
-    return out.values().stream()
+    return outstanding.values().stream()
         .mapToLong(PermitDecision.Grant::expiresMillis)
         .min()
         .orElse(Long.MAX_VALUE);
   }
 
-  /** A clock that stepped back would hold every turn until it has caught up; one gap is enough. */
-  private long nextBeginning(long now) {
-    if (lastBeganMillis == Long.MIN_VALUE) {
+  /**
+   * Returns when the next load may start: at most one interval from now, so that a step back of the
+   * clock does not delay every load until the clock has caught up.
+   */
+  private long nextGrantMillis(long now) {
+    if (lastGrantMillis == Long.MIN_VALUE) {
       return now;
     }
-    return Math.min(lastBeganMillis + settings.gapMillis(), now + settings.gapMillis());
+    return Math.min(lastGrantMillis + settings.gapMillis(), now + settings.gapMillis());
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitSettings.java
@@ -4,19 +4,19 @@
 import org.hornbeamusher.ids.PartnerId;
 
 /**
- * Figures of one weight store.
+ * Permit settings of one weight store.
  *
- * @param gapMillis least time between the beginnings of two loads
- * @param atOnce loads that may be under way together
- * @param expiryMillis after this time a turn counts as over though nothing was heard
- * @param askMillis an ask that was not repeated for this long is forgotten
- * @param partnerShares each partner's guaranteed part of the turns
+ * @param gapMillis minimum interval between the starts of two loads
+ * @param maxConcurrentLoads maximum number of concurrent loads
+ * @param permitExpiryMillis time after which a permit expires if it is not released
+ * @param requestExpiryMillis time after which a permit request that is not repeated is dropped
+ * @param partnerShares weight of each partner's guaranteed share of the permits
  */
 public record PermitSettings(
     long gapMillis,
-    int atOnce,
-    long expiryMillis,
-    long askMillis,
+    int maxConcurrentLoads,
+    long permitExpiryMillis,
+    long requestExpiryMillis,
     Map<PartnerId, Integer> partnerShares) {
 
   /** Copies the map. */
@@ -25,12 +25,13 @@
   }
 
   /**
-   * Returns the figures of today's weight store: two loads a second, one at a time at full speed. A
-   * turn expires after six times a load at full speed, so a crashed agent costs six turns at most;
-   * agents repeat their ask every second, so three are lost before one is forgotten.
+   * Returns the settings of the current weight store: two loads a second, one at a time at full
+   * speed. A permit expires after six times the duration of a load at full speed, so a crashed
+   * agent costs at most six permits. Agents repeat their request every second, so three in a row
+   * are lost before a request is dropped.
    *
-   * @param partnerShares each partner's guaranteed part
-   * @return the figures
+   * @param partnerShares weight of each partner's guaranteed share of the permits
+   * @return the settings
    */
   public static PermitSettings of(Map<PartnerId, Integer> partnerShares) {
     return new PermitSettings(500, 1, 3_000, 3_500, partnerShares);
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitSource.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitSource.java
@@ -2,19 +2,19 @@
 
 import org.hornbeamusher.ids.EndpointId;
 
-/** Whom an agent asks for its turns. */
+/** Where an agent gets its load permits. */
 public sealed interface PermitSource {
 
-  /** This agent holds the permits and asks its own ledger. */
+  /** This agent is the permit holder and uses its own {@link PermitLedger}. */
   record OwnLedger() implements PermitSource {}
 
   /**
-   * Another agent holds them.
+   * Another agent is the permit holder.
    *
-   * @param holder which one
+   * @param holder that agent
    */
   record Holder(EndpointId holder) implements PermitSource {}
 
-  /** The holder is out of reach; this agent paces itself. */
+  /** The holder is unreachable; this agent paces itself by {@link LocalPacer}. */
   record Local() implements PermitSource {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitSourceChoice.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitSourceChoice.java
@@ -5,18 +5,18 @@
 import org.hornbeamusher.ids.EndpointId;
 
 /**
- * Decides whom an agent asks for its turns, and when it goes by itself.
+ * Decides from which holder an agent requests its load permits, and when it paces itself instead.
  *
- * <p>Failure pattern: the holder crashes, or its connection goes silent, while the list of live
- * agents still names it. Asking on would stop this agent's loads until the list catches up. So once
- * the holder has been out of reach for {@value #PATIENCE_MILLIS} ms the agent paces itself, and
- * goes back to the holder as soon as it is reached. The wait keeps a connection that is merely
- * being reopened from setting all agents loose at once; going back at once is safe, since the only
- * harm of switching often is a load more or less.
+ * <p>If the holder crashes, or its connection stops responding, while the list of live agents still
+ * names it, further requests to it would stop this agent's loads until the list is updated. So once
+ * the holder has been unreachable for {@value #UNREACHABLE_GRACE_MILLIS} ms the agent paces itself,
+ * and returns to the holder as soon as it is reachable. The delay keeps all agents from pacing
+ * themselves at once while a connection is merely being reopened. Returning at once is safe, since
+ * frequent switching costs no more than an extra or a missing load.
  */
 public final class PermitSourceChoice {
 
-  private static final long PATIENCE_MILLIS = 1_500;
+  private static final long UNREACHABLE_GRACE_MILLIS = 1_500;
   private static final long NEVER = Long.MIN_VALUE;
 
   private final EndpointId self;
@@ -24,7 +24,7 @@
   private long unreachableSince = NEVER;
 
   /**
-   * Creates the choice of one agent.
+   * Creates an instance for one agent.
    *
    * @param self the agent
    * @param store the weight store it loads from
@@ -35,12 +35,12 @@
   }
 
   /**
-   * Decides.
+   * Decides where the agent gets its permits now.
    *
-   * @param live the agents of the store that are live as far as known, this one among them
-   * @param reachable those that a working connection leads to
+   * @param live the agents of the store that are live as far as known, including this one
+   * @param reachable the agents to which there is a working connection
    * @param now milliseconds
-   * @return whom to ask
+   * @return the permit source
    */
   public PermitSource choose(
       Collection<EndpointId> live, Collection<EndpointId> reachable, long now) {
@@ -56,7 +56,7 @@
     if (unreachableSince == NEVER || now < unreachableSince) {
       unreachableSince = now;
     }
-    return now - unreachableSince < PATIENCE_MILLIS
+    return now - unreachableSince < UNREACHABLE_GRACE_MILLIS
         ? new PermitSource.Holder(holder.get())
         : new PermitSource.Local();
   }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Decides which agent may load from a weight store, and when. No network, no threads.
+ * Decides which agent may load from a weight store, and when. Pure decision logic without network
+ * access or threads.
  *
- * <p>One agent of a store, found by {@link org.hornbeamusher.pacing.PermitHolderChoice}, keeps the
- * {@link org.hornbeamusher.pacing.PermitLedger}; an agent that cannot reach it goes by its own
+ * <p>One agent of a store, determined by {@link org.hornbeamusher.pacing.PermitHolderChoice}, runs
+ * the {@link org.hornbeamusher.pacing.PermitLedger}; an agent that cannot reach it uses its own
  * {@link org.hornbeamusher.pacing.LocalPacer}.
  */
 package org.hornbeamusher.pacing;
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/LoadDemand.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/LoadDemand.java
@@ -14,7 +14,7 @@
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.CallerId;
 import org.hornbeamusher.ids.PartnerId;
-import org.hornbeamusher.pacing.PartnerTurns;
+import org.hornbeamusher.pacing.PartnerFairShares;
 
 /**
  * Orders the adapters that requests wait for by demand.
@@ -44,7 +44,7 @@
  * <p>Requests for the same adapter share one load because demand is kept by adapter.
  *
  * <p>The weights must not decide alone between partners, since each partner writes its own: {@link
- * PartnerTurns} limits each partner to its share of the loads, and demand decides within that.
+ * PartnerFairShares} limits each partner to its share of the loads, and demand decides within that.
  */
 final class LoadDemand {
 
@@ -54,14 +54,14 @@
   private final SchedulerSettings settings;
   private final Map<AdapterRef, Set<ScheduledRequest>> byAdapter = new LinkedHashMap<>();
   private final Map<CallerId, DecayedCount> callerLoads = new HashMap<>();
-  private final PartnerTurns turns;
+  private final PartnerFairShares partnerFairShares;
 
   /** The partners that wanted a load when {@link #order} was last called. */
   private Set<PartnerId> waitingPartners = Set.of();
 
   LoadDemand(SchedulerSettings settings) {
     this.settings = settings;
-    this.turns = new PartnerTurns(settings.partnerShares());
+    this.partnerFairShares = new PartnerFairShares(settings.partnerShares());
   }
 
   void add(ScheduledRequest waiting) {
@@ -118,7 +118,7 @@
       return candidates.stream().map(Candidate::adapter).toList();
     }
     waitingPartners = candidates.stream().map(Candidate::partner).collect(Collectors.toSet());
-    Set<PartnerId> entitled = turns.entitled(waitingPartners);
+    Set<PartnerId> entitled = partnerFairShares.entitled(waitingPartners);
     return candidates.stream()
         .sorted(
             Comparator.<Candidate, Boolean>comparing(entry -> !entitled.contains(entry.partner))
@@ -138,7 +138,8 @@
           .add(1.0 / served.size(), now);
     }
     callerLoads.values().removeIf(count -> count.at(now) < 0.01);
-    chargedPartner(adapter).ifPresent(partner -> turns.charge(partner, waitingPartners));
+    chargedPartner(adapter)
+        .ifPresent(partner -> partnerFairShares.charge(partner, waitingPartners));
   }
 
   private record Candidate(AdapterRef adapter, double demand, PartnerId partner) {}
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/ShareNode.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/ShareNode.java
@@ -181,7 +181,7 @@
     candidates.stream()
         .mapToDouble(candidate -> candidate.node.startTag)
         .min()
-        .ifPresent(least -> virtualTime = Math.max(virtualTime, least));
+        .ifPresent(lowestTag -> virtualTime = Math.max(virtualTime, lowestTag));
   }
 
   private void removeIdle() {
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/WaitEstimate.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/WaitEstimate.java
@@ -78,9 +78,9 @@
   }
 
   private double loadWaitMillis(AdapterRef adapter, long now) {
-    double least = minLoadMillis(adapter, now);
-    boolean counted = least == 0 || !demand.waitingFor(adapter).isEmpty();
-    return counted ? least : loadsAhead() * pace.intervalMillis() + least;
+    double minLoadMillis = minLoadMillis(adapter, now);
+    boolean counted = minLoadMillis == 0 || !demand.waitingFor(adapter).isEmpty();
+    return counted ? minLoadMillis : loadsAhead() * pace.intervalMillis() + minLoadMillis;
   }
 
   private long loadsAhead() {
@@ -91,14 +91,14 @@
     if (!batchFull()) {
       return 0;
     }
-    double bound = Double.POSITIVE_INFINITY;
+    double queuedMillis = Double.POSITIVE_INFINITY;
     double fraction = 1;
     List<ShareNode> path = queue.path(request);
     for (ShareNode node : path) {
       fraction *= node.fraction();
-      bound = Math.min(bound, startableMillis(node) / fraction);
+      queuedMillis = Math.min(queuedMillis, startableMillis(node) / fraction);
     }
-    return partnerSlotWaitMillis(path.getFirst(), request.partner(), now) + bound;
+    return partnerSlotWaitMillis(path.getFirst(), request.partner(), now) + queuedMillis;
   }
 
   /** A partner that already uses its share of the slots waits for one of its own to become free. */
--- a/runtime/src/test/java/org/hornbeamusher/pacing/PermitLedgerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/pacing/PermitLedgerTest.java
@@ -25,11 +25,11 @@
   private final PermitLedger ledger = new PermitLedger(PermitSettings.of(Map.of()));
 
   /**
-   * Two agents want loads at once. Were both to load, each load would take twice as long. The
-   * second gets its turn when the first is over and half a second has passed since the first began.
+   * Guards against concurrent loads, each of which would take twice as long. The second agent gets
+   * a permit when the first load has ended and half a second has passed since it started.
    */
   @Test
-  void oneTurnIsOutAndTwoBeginEachSecond() {
+  void onePermitIsOutstandingAndTwoAreGrantedPerSecond() {
     ledger.ask(ONE, ZARQA, 5, 1_000);
     ledger.ask(TWO, TAWHITI, 1, 1_000);
     assertEquals(new PermitDecision.Grant(ONE, 1, 4_000), ledger.poll(1_000));
@@ -42,11 +42,11 @@
   }
 
   /**
-   * An agent is killed while it loads. Its turn would keep the store idle for good; it ends by
-   * itself, and at once when the agent is known to be gone.
+   * Guards against an agent killed during a load whose permit keeps the store idle for ever. The
+   * permit expires, and ends at once if the agent is known to be gone.
    */
   @Test
-  void turnOfCrashedAgentEnds() {
+  void permitOfCrashedAgentExpires() {
     ledger.ask(ONE, ZARQA, 1, 0);
     ledger.ask(TWO, TAWHITI, 1, 0);
     ledger.poll(0);
@@ -57,20 +57,20 @@
     assertEquals(new PermitDecision.Grant(THREE, 3, 6_600), ledger.poll(3_600));
   }
 
-  /** An agent that asked and was cut off must not be given turns that nobody uses. */
+  /** Guards against permits granted to an agent that requested one and was then disconnected. */
   @Test
-  void askThatIsNotRepeatedIsForgotten() {
+  void requestThatIsNotRepeatedIsDropped() {
     ledger.ask(ONE, ZARQA, 1, 0);
     assertEquals(new PermitDecision.Hold(Long.MAX_VALUE), ledger.poll(3_500));
   }
 
   /**
-   * An agent repeats its ask in the moment in which its turn is on the way. Taken as a new ask it
-   * would earn a second turn, which the agent does not use and which holds up everyone until it
+   * An agent repeats its request while the grant is in transit. Treated as a new request, it would
+   * lead to a second permit, which the agent does not use and which blocks all others until it
    * expires.
    */
   @Test
-  void askThatCrossesTheTurnIsIgnored() {
+  void requestThatCrossesTheGrantIsIgnored() {
     ledger.ask(ONE, ZARQA, 1, 0);
     ledger.poll(0);
     ledger.ask(ONE, ZARQA, 1, 100);
@@ -78,9 +78,9 @@
     assertEquals(new PermitDecision.Hold(Long.MAX_VALUE), ledger.poll(600));
   }
 
-  /** The answer to the first ask was lost with its connection, and the agent asks again. */
+  /** The grant was lost with its connection, and the agent requests a permit again. */
   @Test
-  void askAfterLostTurnIsServed() {
+  void requestAfterLostGrantIsServed() {
     ledger.ask(ONE, ZARQA, 1, 0);
     ledger.poll(0);
     ledger.ask(ONE, ZARQA, 1, 1_000);
@@ -88,15 +88,15 @@
   }
 
   /**
-   * Zarqa's agents have far greater demand, without end. By demand alone Tawhiti's single load
-   * would never come, and a salesperson would wait in vain.
+   * Guards against starvation of a partner. Zarqa's agents always have far greater demand; by
+   * demand alone Tawhiti's single load would never be permitted.
    */
   @Test
-  void partnerFloodingTheOther() {
+  void floodingPartnerDoesNotStarveTheOther() {
     List<EndpointId> order = new ArrayList<>();
     long now = 0;
     ledger.ask(TWO, TAWHITI, 0.01, now);
-    for (int turn = 0; turn < 8; turn++) {
+    for (int round = 0; round < 8; round++) {
       ledger.ask(ONE, ZARQA, 1_000, now);
       if (ledger.poll(now) instanceof PermitDecision.Grant grant) {
         order.add(grant.agent());
@@ -108,9 +108,9 @@
     assertEquals(List.of(ONE, TWO, ONE, TWO, ONE, TWO, ONE, TWO), order);
   }
 
-  /** A clock that steps back by an hour must not hold every load for an hour. */
+  /** Guards against a clock that steps back by an hour and delays every load for an hour. */
   @Test
-  void clockStepsBack() {
+  void clockSetBackDelaysNextGrantByOneIntervalOnly() {
     ledger.ask(ONE, ZARQA, 1, 3_600_000);
     ledger.poll(3_600_000);
     ledger.done(ONE, 1);
@@ -119,41 +119,41 @@
   }
 
   /**
-   * Drawn asks, ends, losses and silences of ten agents of both partners. Whatever happens, no two
-   * turns are out at once by the ledger's own account, their beginnings are half a second apart,
-   * and a partner that asks all the time gets its share.
+   * Random requests, releases and expiries of ten agents of both partners. No two permits may be
+   * outstanding at once, grants are at least half a second apart, and a partner that always
+   * requests permits gets its share.
    */
   @Property(tries = 200, seed = "551")
-  void boundsHoldForDrawnHistories(@ForAll long seed) {
+  void limitsHoldForRandomHistories(@ForAll long seed) {
     Random random = new Random(seed);
     int zarqaShare = 1 + random.nextInt(3);
     PermitLedger drawn = new PermitLedger(PermitSettings.of(Map.of(ZARQA, zarqaShare)));
-    Map<EndpointId, PermitDecision.Grant> out = new HashMap<>();
-    Map<PartnerId, Integer> turns = new HashMap<>();
-    long lastBegan = -500;
+    Map<EndpointId, PermitDecision.Grant> outstanding = new HashMap<>();
+    Map<PartnerId, Integer> permits = new HashMap<>();
+    long lastGranted = -500;
     for (long now = 0; now < 120_000; now += 20 + random.nextInt(60)) {
       long time = now;
-      out.values().removeIf(grant -> grant.expiresMillis() <= time);
+      outstanding.values().removeIf(grant -> grant.expiresMillis() <= time);
       for (int agent = 0; agent < 10; agent++) {
         EndpointId id = new EndpointId("agent-" + agent);
-        if (!out.containsKey(id)) {
+        if (!outstanding.containsKey(id)) {
           drawn.ask(id, agent < 5 ? ZARQA : TAWHITI, 0.1 + random.nextInt(9), now);
         } else if (random.nextInt(10) == 0) {
-          drawn.done(id, out.remove(id).grant());
+          drawn.done(id, outstanding.remove(id).grant());
         }
       }
       if (drawn.poll(now) instanceof PermitDecision.Grant grant) {
-        assertTrue(out.isEmpty(), "a turn is out");
-        assertTrue(now - lastBegan >= 500, "too soon");
-        lastBegan = now;
-        out.put(grant.agent(), grant);
+        assertTrue(outstanding.isEmpty(), "another permit is outstanding");
+        assertTrue(now - lastGranted >= 500, "granted too soon after the last permit");
+        lastGranted = now;
+        outstanding.put(grant.agent(), grant);
         boolean zarqa = Integer.parseInt(grant.agent().value().substring(6)) < 5;
-        turns.merge(zarqa ? ZARQA : TAWHITI, 1, Integer::sum);
+        permits.merge(zarqa ? ZARQA : TAWHITI, 1, Integer::sum);
       }
     }
-    int all = turns.values().stream().mapToInt(Integer::intValue).sum();
-    assertTrue(all >= 40, "turns " + all);
+    int all = permits.values().stream().mapToInt(Integer::intValue).sum();
+    assertTrue(all >= 40, "permits " + all);
     double expected = (double) all * zarqaShare / (zarqaShare + 1);
-    assertEquals(expected, turns.get(ZARQA), 2);
+    assertEquals(expected, permits.get(ZARQA), 2);
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/pacing/PermitSourceChoiceTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/pacing/PermitSourceChoiceTest.java
@@ -20,9 +20,9 @@
     return IntStream.range(0, count).mapToObj(i -> new EndpointId("valuer-llm-" + i)).toList();
   }
 
-  /** Agents learn of each other in any order; one that chose otherwise would pace by itself. */
+  /** Agents learn of each other in any order, and must determine the same holder nevertheless. */
   @Property(tries = 50, seed = "77")
-  void everyAgentFindsTheSameHolder(@ForAll long seed) {
+  void everyAgentDeterminesTheSameHolder(@ForAll long seed) {
     List<EndpointId> shuffled = new ArrayList<>(agents(12));
     Collections.shuffle(shuffled, new Random(seed));
     assertEquals(
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void onlyTheLossOfTheHolderMovesTheDuty() {
+  void holderChangesOnlyWhenItIsLost() {
     EndpointId holder = PermitHolderChoice.holder("weights", agents(12)).orElseThrow();
     for (EndpointId gone : agents(12)) {
       List<EndpointId> rest = agents(12).stream().filter(id -> !id.equals(gone)).toList();
@@ -42,11 +42,12 @@
   }
 
   /**
-   * The holder's connection goes silent. An agent that asked on for ever would load nothing and its
-   * callers would be refused; after a second and a half it paces itself, until the holder is back.
+   * The holder's connection stops responding. An agent that kept requesting permits there would
+   * load nothing and its callers would be refused; after 1.5 s it paces itself, until the holder is
+   * reachable again.
    */
   @Test
-  void holderOutOfReach() {
+  void agentPacesItselfWhileHolderIsUnreachable() {
     EndpointId holder = PermitHolderChoice.holder("weights", agents(3)).orElseThrow();
     EndpointId self = agents(3).stream().filter(id -> !id.equals(holder)).findFirst().orElseThrow();
     PermitSourceChoice choice = new PermitSourceChoice(self, "weights");
@@ -60,27 +61,27 @@
   }
 
   /**
-   * Every agent loses the holder in the same moment and all want loads. Together they must stay
-   * about the store's rate, and not begin together.
+   * Every agent loses the holder at the same time and all want loads. Together they must stay close
+   * to the store's rate, and must not start their loads at the same time.
    */
   @Test
-  void agentsThatPaceThemselvesStayWithinTheRate() {
-    int[] beginnings = new int[60_000];
+  void selfPacedAgentsStayWithinTheRate() {
+    int[] starts = new int[60_000];
     for (int agent = 0; agent < 12; agent++) {
       LocalPacer pacer = new LocalPacer(500, agent);
-      for (int now = 0; now < beginnings.length; now += 10) {
+      for (int now = 0; now < starts.length; now += 10) {
         if (pacer.turn(12, now) instanceof PaceDecision.Go) {
-          beginnings[now]++;
+          starts[now]++;
         }
       }
     }
-    int all = IntStream.of(beginnings).sum();
-    assertTrue(all > 108 && all < 135, "120 loads fit into a minute, begun: " + all);
+    int all = IntStream.of(starts).sum();
+    assertTrue(all > 108 && all < 135, "expected about 120 loads in a minute, started: " + all);
     int worstSecond =
         IntStream.range(0, 60)
-            .map(s -> IntStream.range(s * 1_000, s * 1_000 + 1_000).map(i -> beginnings[i]).sum())
+            .map(s -> IntStream.range(s * 1_000, s * 1_000 + 1_000).map(i -> starts[i]).sum())
             .max()
             .orElseThrow();
-    assertTrue(worstSecond <= 6, "most in one second: " + worstSecond);
+    assertTrue(worstSecond <= 6, "maximum in one second: " + worstSecond);
   }
 }
