--- a/runtime/src/main/java/org/hornbeamusher/scheduling/WaitEstimate.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/WaitEstimate.java
@@ -11,11 +11,11 @@
  * <p><b>Batch slot.</b> While a slot is free the wait is 0. Otherwise it is the sum of two times.
  * The first is the time until a running request ends (one of the request's own partner, if that
  * partner already uses its share of the slots). The second is the startable work queued for the
- * request's caller divided by that caller's share of the speed, or that of its service or partner
- * divided by theirs, whichever is least. So a caller with few requests is admitted while another's
- * backlog is minutes long. Dividing all queued work by the whole speed gives no valid upper limit:
- * while another partner floods the endpoint, its new requests are served before those of a partner
- * that already uses its share.
+ * request's caller divided by that caller's share of the throughput, or that of its service or
+ * partner divided by theirs, whichever is least. So a caller with few requests is admitted while
+ * another's backlog is minutes long. Dividing all queued work by the total throughput gives no
+ * valid upper limit: while another partner floods the endpoint, its new requests are served before
+ * those of a partner that already uses its share.
  *
  * <p><b>Load.</b> The loads ahead, each at the measured pace, plus the request's own. With none
  * ahead only the load time itself counts: if the measured pace were added as well, a slow period of
