--- a/runtime/src/main/java/org/hornbeamusher/accounts/AccountDirectory.java
+++ b/runtime/src/main/java/org/hornbeamusher/accounts/AccountDirectory.java
@@ -44,7 +44,7 @@
    *
    * @return whether there is any account
    */
-  public boolean required() {
+  public boolean keyRequired() {
     return !byName.isEmpty();
   }
 
@@ -54,7 +54,7 @@
    * @param key the key
    * @return the account, or empty if no account has this key
    */
-  public Optional<ClientAccount> holder(AccountKey key) {
+  public Optional<ClientAccount> findByKey(AccountKey key) {
     return Optional.ofNullable(byKey.get(key));
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/admission/AdmissionPolicy.java
+++ b/runtime/src/main/java/org/hornbeamusher/admission/AdmissionPolicy.java
@@ -81,7 +81,7 @@
    *
    * @param requests number of requests in flight above which shares are enforced
    */
-  public void limit(long requests) {
+  public void setInFlightLimit(long requests) {
     inFlightLimit = Math.max(1, requests);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/admission/AdmissionSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/admission/AdmissionSettings.java
@@ -36,12 +36,12 @@
    * lent as well, the time to first token while another partner flooded the pool was 7.1 s instead
    * of 2.8 s.
    */
-  public static final double DEFAULT_LENT_PART = 0.5;
+  public static final double DEFAULT_BORROWABLE_FRACTION = 0.5;
 
   /**
    * Default time for which a partner, service or caller counts as active after its last request.
    */
-  public static final long DEFAULT_MEMORY_MILLIS = 10_000;
+  public static final long DEFAULT_IDLE_TIMEOUT_MILLIS = 10_000;
 
   /**
    * Queued requests for each batch slot. With 0.5, endpoints with less popular adapters run empty
@@ -77,8 +77,8 @@
     return new AdmissionSettings(
         inFlightLimit,
         DEFAULT_OVERSHOOT,
-        DEFAULT_LENT_PART,
-        DEFAULT_MEMORY_MILLIS,
+        DEFAULT_BORROWABLE_FRACTION,
+        DEFAULT_IDLE_TIMEOUT_MILLIS,
         true,
         true,
         partnerShares);
--- a/runtime/src/main/java/org/hornbeamusher/agent/AgentAttempt.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AgentAttempt.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.zip.CRC32C;
-import org.hornbeamusher.availability.StatedRetryAfter;
+import org.hornbeamusher.availability.RetryAfter;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.http.HttpHead;
 import org.hornbeamusher.http.HttpStream;
@@ -28,7 +28,7 @@
     boolean acceptsRequests();
 
     /** Called when a response of the endpoint states a Retry-After period. */
-    void retryAfterStated(StatedRetryAfter stated);
+    void retryAfterStated(RetryAfter stated);
 
     /** Called when the endpoint's response is complete. */
     void completed(AgentAttempt attempt);
@@ -68,7 +68,7 @@
     this.dispatch = dispatch;
     this.ticket = ticket;
     this.listener = listener;
-    this.credit = new AtomicLong(dispatch.credit());
+    this.credit = new AtomicLong(dispatch.creditBytes());
   }
 
   long ticket() {
@@ -122,15 +122,15 @@
   }
 
   @Override
-  public boolean sending() {
+  public boolean shouldSend() {
     return listener.acceptsRequests();
   }
 
   @Override
   public void head(HttpHead head) {
     int status = head.status();
-    List<String> times = head.first(StatedRetryAfter.FIELD).map(List::of).orElse(List.of());
-    listener.retryAfterStated(StatedRetryAfter.of(status, times));
+    List<String> times = head.first(RetryAfter.FIELD).map(List::of).orElse(List.of());
+    listener.retryAfterStated(RetryAfter.of(status, times));
     if (isModel() && status != OK) {
       errorStatus = status;
       return;
@@ -173,7 +173,7 @@
       listener.rejected(this, errorStatus, error.toString(java.nio.charset.StandardCharsets.UTF_8));
       return;
     }
-    connection.send(new Message.Closing(dispatch.attempt(), chunks, checksum.getValue()));
+    connection.send(new Message.ResponseEnd(dispatch.attempt(), chunks, checksum.getValue()));
     listener.completed(this);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/agent/AgentDaemon.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AgentDaemon.java
@@ -15,14 +15,14 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.hornbeamusher.clock.Clock;
 import org.hornbeamusher.documents.ServiceDocument;
-import org.hornbeamusher.endpoint.EngineOrders;
+import org.hornbeamusher.endpoint.EngineOrderClient;
 import org.hornbeamusher.events.EventLog;
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
+import org.hornbeamusher.fencing.FencingNumberAllocator;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.lease.FencingLease;
 import org.hornbeamusher.metrics.MetricsReport;
 import org.hornbeamusher.metrics.ProcessMetric;
 import org.hornbeamusher.operator.OperatorApi;
@@ -104,7 +104,8 @@
         new HttpListener(settings.http(), Undertow.builder().setIoThreads(1).setWorkerThreads(1));
     this.hello = hello(settings);
     this.server =
-        new WireServer(settings.listen().address(), hello, this, settings.wire(), sockets, clock);
+        new WireServer(
+            settings.entryListener().address(), hello, this, settings.wire(), sockets, clock);
     this.permits =
         new PermitExchange(
             new PermitExchange.Setup(
@@ -149,7 +150,7 @@
     services.start();
     services.processMetrics().gauge(ProcessMetric.IN_FLIGHT, this::outstanding);
     services.processMetrics().gauge(ProcessMetric.PEERS, server::connections);
-    services.sync().listen(document -> becomeReady());
+    services.sync().addListener(document -> becomeReady());
     becomeReady();
     timer.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     timer.scheduleWithFixedDelay(
@@ -163,7 +164,7 @@
                     () -> readyExecutor().map(EndpointExecutor::load),
                     () -> draining,
                     this::drain),
-                settings.tokens(),
+                settings.tokenDirectory(),
                 new MetricsReport(services.metrics()))
             .mount(new PathHandler()));
     EventLog.log(
@@ -195,8 +196,8 @@
             capacitySettings.loadMillis(),
             true,
             capacitySettings.partnerShares());
-    FencingLease lease =
-        new FencingLease(
+    FencingNumberAllocator lease =
+        new FencingNumberAllocator(
             services.table(), settings.endpoint(), Long.toHexString(hello.incarnation()));
     EndpointExecutor created =
         new EndpointExecutor(
@@ -207,7 +208,7 @@
                 new EngineFencing(lease),
                 this::drain),
             new AgentScheduler(scheduling),
-            new EngineOrders(
+            new EngineOrderClient(
                 settings.endpoint(), settings.endpointUri(), services.http(), ORDER_TIMEOUT_MILLIS),
             services.http(),
             this::weightsLocation,
@@ -233,10 +234,11 @@
     return slots.flatMap(s -> batch.map(b -> new Capacity(s, b)));
   }
 
-  private static Capacity capacity(ServiceDocument.Kind kind) {
+  private static Capacity capacity(ServiceDocument.ServiceKind kind) {
     return switch (kind) {
-      case ServiceDocument.Kind.Model model -> new Capacity(model.slots(), model.batch());
-      case ServiceDocument.Kind.Plain plain -> new Capacity(0, plain.concurrency());
+      case ServiceDocument.ServiceKind.Model model ->
+          new Capacity(model.adapterSlots(), model.batch());
+      case ServiceDocument.ServiceKind.Plain plain -> new Capacity(0, plain.concurrency());
     };
   }
 
@@ -253,7 +255,7 @@
    *
    * @throws InterruptedException when waiting is interrupted
    */
-  public void awaitLeaving() throws InterruptedException {
+  public void awaitDrain() throws InterruptedException {
     drainOrdered.await();
   }
 
@@ -351,7 +353,9 @@
           .filter(document -> document.pool().equals(settings.pool()))
           .forEach(
               document ->
-                  services.metrics().batch(document.service(), load.running(), load.batch()));
+                  services
+                      .metrics()
+                      .recordBatchSample(document.service(), load.running(), load.batch()));
     }
   }
 
@@ -376,10 +380,12 @@
     return services
         .documents()
         .current(adapter.service())
-        .filter(document -> document.kind() instanceof ServiceDocument.Kind.Model)
-        .map(document -> ((ServiceDocument.Kind.Model) document.kind()).adapters())
+        .filter(document -> document.kind() instanceof ServiceDocument.ServiceKind.Model)
+        .map(document -> ((ServiceDocument.ServiceKind.Model) document.kind()).adapters())
         .map(adapters -> adapters.get(adapter.adapter()))
-        .map(found -> found.weights().replace("{version}", Integer.toString(adapter.version())))
+        .map(
+            found ->
+                found.weightsLocation().replace("{version}", Integer.toString(adapter.version())))
         .orElse(adapter.toString());
   }
 
@@ -421,12 +427,12 @@
   }
 
   @Override
-  public long digest() {
+  public long documentDigest() {
     return services.exchange().digest();
   }
 
   @Override
-  public void heartbeat(WireConnection connection, long digest) {
+  public void heartbeatReceived(WireConnection connection, long digest) {
     services.exchange().heartbeat(connection, digest);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/agent/AgentOperations.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AgentOperations.java
@@ -44,7 +44,7 @@
 
   @Override
   public Optional<PartnerId> owner(ServiceName service) {
-    return services.documents().held(service).map(ServiceDocument::partner);
+    return services.documents().latest(service).map(ServiceDocument::partner);
   }
 
   @Override
@@ -61,8 +61,8 @@
         List.of());
   }
 
-  private ProcessStatus.Endpoint endpoint(EndpointLoad known) {
-    return new ProcessStatus.Endpoint(
+  private ProcessStatus.EndpointStatus endpoint(EndpointLoad known) {
+    return new ProcessStatus.EndpointStatus(
         settings.endpoint(),
         settings.zone(),
         settings.pool(),
@@ -75,17 +75,17 @@
   }
 
   /** Returns the agent's counts; refusals to callers are counted at the entries. */
-  private List<ProcessStatus.Service> serviceStatus() {
+  private List<ProcessStatus.ServiceStatus> serviceStatus() {
     return services.documents().all().stream()
         .filter(document -> document.pool().equals(settings.pool()))
         .sorted(Comparator.comparing(ServiceDocument::service))
         .map(
             document ->
-                new ProcessStatus.Service(
+                new ProcessStatus.ServiceStatus(
                     document.service(),
                     document.partner(),
                     document.version(),
-                    services.metrics().answeredCount(document.service()),
+                    services.metrics().responseCount(document.service()),
                     services.metrics().refusals(document.service())))
         .toList();
   }
--- a/runtime/src/main/java/org/hornbeamusher/agent/EndpointExecutor.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/EndpointExecutor.java
@@ -9,19 +9,19 @@
 import java.util.function.Function;
 import org.hornbeamusher.availability.AvailabilityLog;
 import org.hornbeamusher.availability.EndpointAvailability;
+import org.hornbeamusher.availability.RetryAfter;
 import org.hornbeamusher.availability.SendDecision;
-import org.hornbeamusher.availability.StatedRetryAfter;
 import org.hornbeamusher.clock.Clock;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
-import org.hornbeamusher.endpoint.EngineOrders;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
+import org.hornbeamusher.endpoint.EngineOrderClient;
 import org.hornbeamusher.endpoint.EngineState;
 import org.hornbeamusher.events.EventLog;
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.failure.Outcome;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
+import org.hornbeamusher.http.HttpRequest;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.CallerId;
 import org.hornbeamusher.ids.EndpointId;
@@ -55,7 +55,7 @@
 
   private final EndpointParameters parameters;
   private final AgentScheduler scheduler;
-  private final EngineOrders orders;
+  private final EngineOrderClient orders;
   private final HttpClient http;
   private final Clock clock;
   private final Function<AdapterRef, String> weightsLocation;
@@ -99,7 +99,7 @@
   EndpointExecutor(
       EndpointParameters parameters,
       AgentScheduler scheduler,
-      EngineOrders orders,
+      EngineOrderClient orders,
       HttpClient http,
       Function<AdapterRef, String> weightsLocation,
       PermitExchange.LoadPermits permits,
@@ -160,8 +160,8 @@
   }
 
   @Override
-  public synchronized void retryAfterStated(StatedRetryAfter stated) {
-    if (availability.answered(stated, clock.millis())) {
+  public synchronized void retryAfterStated(RetryAfter stated) {
+    if (availability.recordRetryAfter(stated, clock.millis())) {
       AvailabilityLog.backoff(
           parameters.endpoint(), engineIncarnation, availability.backoffMillis(clock.millis()));
     }
@@ -183,7 +183,7 @@
         d.costTokens(),
         clock.millis(),
         d.deadlineMillis(),
-        new Weights(d.loadStallWeight(), d.batchWeight()),
+        new CostWeights(d.loadStallWeight(), d.batchWeight()),
         d.serviceShare(),
         d.callerWeight(),
         d.queueLimit());
@@ -232,7 +232,7 @@
   /** Refuses new attempts from now on and returns queued ones that do not start soon. */
   synchronized void drain() {
     draining = true;
-    scheduler.leave(clock.millis());
+    scheduler.beginDrain(clock.millis());
   }
 
   /** Tells whether new attempts are refused. */
@@ -247,7 +247,7 @@
 
   /** Returns the endpoint's load; a batch of 0 means that it is unreachable. */
   synchronized EndpointLoad load() {
-    EndpointLoad load = scheduler.load(clock.millis());
+    EndpointLoad load = scheduler.endpointLoad(clock.millis());
     if (!endpointDown) {
       return load;
     }
@@ -276,7 +276,7 @@
       case AgentAction.Start start -> startTask(start);
       case AgentAction.Refuse refusal -> refusalTask(refusal);
       case AgentAction.Load load -> loadTask(load);
-      case AgentAction.AskPermit ask -> () -> permits.request(ask.partner(), ask.demand());
+      case AgentAction.RequestPermit ask -> () -> permits.request(ask.partner(), ask.demand());
     };
   }
 
@@ -334,7 +334,8 @@
     if (!d.idempotencyKey().isEmpty()) {
       headers.put("Idempotency-Key", d.idempotencyKey());
     }
-    HttpCall call = new HttpCall(d.method(), parameters.uri().resolve(d.path()), headers, d.body());
+    HttpRequest call =
+        new HttpRequest(d.method(), parameters.uri().resolve(d.path()), headers, d.body());
     attempt.attach(http.stream(call, attempt));
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/agent/EngineFencing.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/EngineFencing.java
@@ -4,8 +4,8 @@
 import org.hornbeamusher.events.EventLog;
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.failure.HornbeamusherException;
+import org.hornbeamusher.fencing.FencingNumberAllocator;
 import org.hornbeamusher.ids.FencingNumber;
-import org.hornbeamusher.lease.FencingLease;
 
 /**
  * Maintains the fencing number of this agent's orders.
@@ -16,12 +16,12 @@
  */
 final class EngineFencing {
 
-  private final FencingLease lease;
+  private final FencingNumberAllocator lease;
   private CompletableFuture<FencingNumber> number = new CompletableFuture<>();
   private boolean leased;
   private boolean acquiring;
 
-  EngineFencing(FencingLease lease) {
+  EngineFencing(FencingNumberAllocator lease) {
     this.lease = lease;
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/agent/PermitExchange.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/PermitExchange.java
@@ -16,8 +16,8 @@
 import org.hornbeamusher.ids.PartnerId;
 import org.hornbeamusher.pacing.LocalPacer;
 import org.hornbeamusher.pacing.PaceDecision;
+import org.hornbeamusher.pacing.PermitAllocator;
 import org.hornbeamusher.pacing.PermitDecision;
-import org.hornbeamusher.pacing.PermitLedger;
 import org.hornbeamusher.pacing.PermitSettings;
 import org.hornbeamusher.pacing.PermitSource;
 import org.hornbeamusher.pacing.PermitSourceChoice;
@@ -68,14 +68,14 @@
   private final LocalPacer pacer;
 
   /** One allocator per weight store for which agents consider this agent the holder. */
-  private final Map<String, PermitLedger> allocators = new HashMap<>();
+  private final Map<String, PermitAllocator> allocators = new HashMap<>();
 
   private final Map<EndpointId, WireConnection> requesters = new HashMap<>();
   private Map<EndpointId, Instance> knownAgents = Map.of();
   private long nextListMillis;
-  private PermitSource source = new PermitSource.OwnLedger();
+  private PermitSource source = new PermitSource.OwnAllocator();
   private Optional<Link> link = Optional.empty();
-  private Optional<Message.PermitAsk> pending = Optional.empty();
+  private Optional<Message.PermitRequest> pending = Optional.empty();
 
   /** Returns the permit in use; empty without one. */
   private Optional<Runnable> permitInUse = Optional.empty();
@@ -158,17 +158,17 @@
   /** Handles a message of another agent to the holder; returns whether it concerned permits. */
   synchronized boolean messageReceived(WireConnection connection, Message message) {
     switch (message) {
-      case Message.PermitAsk ask -> {
+      case Message.PermitRequest ask -> {
         EndpointId agent = new EndpointId(ask.endpoint());
         requesters.put(agent, connection);
         allocator(ask.store())
-            .ask(agent, new PartnerId(ask.partner()), ask.demand(), clock.millis());
+            .request(agent, new PartnerId(ask.partner()), ask.demand(), clock.millis());
       }
-      case Message.PermitDone done ->
+      case Message.PermitRelease done ->
           requesters.forEach(
               (agent, requester) -> {
                 if (requester == connection) {
-                  allocator(done.store()).done(agent, done.grant());
+                  allocator(done.store()).release(agent, done.grantId());
                 }
               });
       default -> {
@@ -186,24 +186,25 @@
             entry -> {
               boolean gone = entry.getValue() == connection;
               if (gone) {
-                allocators.values().forEach(allocator -> allocator.lost(entry.getKey()));
+                allocators.values().forEach(allocator -> allocator.removeAgent(entry.getKey()));
               }
               return gone;
             });
   }
 
   private synchronized void request(PartnerId partner, double demand) {
-    Message.PermitAsk ask = new Message.PermitAsk(store, self.value(), partner.value(), demand);
+    Message.PermitRequest ask =
+        new Message.PermitRequest(store, self.value(), partner.value(), demand);
     pending = demand > 0 ? Optional.of(ask) : Optional.empty();
     switch (source) {
-      case PermitSource.OwnLedger own ->
-          allocator(store).ask(self, partner, demand, clock.millis());
-      case PermitSource.Holder holder -> {
+      case PermitSource.OwnAllocator own ->
+          allocator(store).request(self, partner, demand, clock.millis());
+      case PermitSource.RemoteHolder holder -> {
         if (holderConnection != null) {
           holderConnection.send(ask);
         }
       }
-      case PermitSource.Local local -> {}
+      case PermitSource.SelfPaced local -> {}
     }
   }
 
@@ -240,9 +241,9 @@
     }
     source = choice.choose(all, reachable, now);
     switch (source) {
-      case PermitSource.OwnLedger own -> stop();
-      case PermitSource.Holder holder -> connectTo(holder.holder());
-      case PermitSource.Local local -> {}
+      case PermitSource.OwnAllocator own -> stop();
+      case PermitSource.RemoteHolder holder -> connectTo(holder.holder());
+      case PermitSource.SelfPaced local -> {}
     }
   }
 
@@ -270,22 +271,23 @@
         (name, allocator) -> {
           while (allocator.poll(now) instanceof PermitDecision.Grant grant) {
             if (grant.agent().equals(self)) {
-              acceptPermit(() -> allocator.done(self, grant.grant()), tasks);
+              acceptPermit(() -> allocator.release(self, grant.grantId()), tasks);
             } else {
               requesters
                   .get(grant.agent())
-                  .send(new Message.PermitGrant(name, grant.grant(), grant.expiresMillis()));
+                  .send(new Message.PermitGrant(name, grant.grantId(), grant.expiresMillis()));
             }
           }
         });
   }
 
   private void paceLocally(long now, List<Runnable> tasks) {
-    if (!(source instanceof PermitSource.Local)) {
-      pacer.rest();
+    if (!(source instanceof PermitSource.SelfPaced)) {
+      pacer.reset();
       return;
     }
-    if (pending.isPresent() && pacer.turn(knownAgents.size(), now) instanceof PaceDecision.Go) {
+    if (pending.isPresent()
+        && pacer.tryAcquire(knownAgents.size(), now) instanceof PaceDecision.Proceed) {
       acceptPermit(() -> {}, tasks);
     }
   }
@@ -296,8 +298,8 @@
     tasks.add(onGranted);
   }
 
-  private PermitLedger allocator(String name) {
-    return allocators.computeIfAbsent(name, key -> new PermitLedger(settings));
+  private PermitAllocator allocator(String name) {
+    return allocators.computeIfAbsent(name, key -> new PermitAllocator(settings));
   }
 
   /** Handles the connection to the holder. */
@@ -319,7 +321,8 @@
       List<Runnable> tasks = new ArrayList<>();
       synchronized (PermitExchange.this) {
         acceptPermit(
-            () -> connection.send(new Message.PermitDone(grant.store(), grant.grant())), tasks);
+            () -> connection.send(new Message.PermitRelease(grant.store(), grant.grantId())),
+            tasks);
       }
       tasks.forEach(Runnable::run);
     }
--- a/runtime/src/main/java/org/hornbeamusher/availability/AvailabilityRegister.java
+++ b/runtime/src/main/java/org/hornbeamusher/availability/AvailabilityRegistry.java
@@ -3,13 +3,13 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 
 /**
  * The availability of endpoints by incarnation. It is kept while an endpoint is missing from the
  * list, so that a list entry that expires and returns does not end a back-off.
  */
-public final class AvailabilityRegister {
+public final class AvailabilityRegistry {
 
   private static final int MAX_ENDPOINTS = 4_096;
 
@@ -29,12 +29,12 @@
    * @param incarnation the incarnation
    * @return its availability, newly created if the incarnation is unknown
    */
-  public EndpointAvailability of(EndpointLife incarnation) {
+  public EndpointAvailability of(EndpointIncarnation incarnation) {
     KnownIncarnation known = endpoints.get(incarnation.id());
-    if (known == null || !known.incarnation().sameAs(incarnation)) {
+    if (known == null || !known.incarnation().maybeSameAs(incarnation)) {
       known = new KnownIncarnation(incarnation, new EndpointAvailability());
       endpoints.put(incarnation.id(), known);
-    } else if (known.incarnation().startMillis() == EndpointLife.UNKNOWN_START) {
+    } else if (known.incarnation().startMillis() == EndpointIncarnation.UNKNOWN_START) {
       // Stores the start time, by which the next incarnation of this id can be distinguished.
       known = new KnownIncarnation(incarnation, known.availability());
       endpoints.put(incarnation.id(), known);
@@ -42,5 +42,6 @@
     return known.availability();
   }
 
-  private record KnownIncarnation(EndpointLife incarnation, EndpointAvailability availability) {}
+  private record KnownIncarnation(
+      EndpointIncarnation incarnation, EndpointAvailability availability) {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/availability/EndpointAvailability.java
+++ b/runtime/src/main/java/org/hornbeamusher/availability/EndpointAvailability.java
@@ -24,8 +24,8 @@
    * @param now current time in milliseconds
    * @return whether it extends the back-off
    */
-  public boolean answered(StatedRetryAfter retryAfter, long now) {
-    if (!(retryAfter instanceof StatedRetryAfter.Millis time) || time.millis() == 0) {
+  public boolean recordRetryAfter(RetryAfter retryAfter, long now) {
+    if (!(retryAfter instanceof RetryAfter.Millis time) || time.millis() == 0) {
       return false;
     }
     long end = saturatedSum(now, time.millis());
@@ -45,7 +45,7 @@
    *
    * @return whether this was not known before
    */
-  public boolean statedLeaving() {
+  public boolean recordLeaving() {
     boolean changed = !leaving;
     leaving = true;
     return changed;
--- a/runtime/src/main/java/org/hornbeamusher/availability/StatedRetryAfter.java
+++ b/runtime/src/main/java/org/hornbeamusher/availability/RetryAfter.java
@@ -3,29 +3,29 @@
 import java.util.List;
 
 /** When an endpoint accepts requests of this process again, according to a refusal. */
-public sealed interface StatedRetryAfter {
+public sealed interface RetryAfter {
 
   /** The name of the response header. */
   String FIELD = "retry-after";
 
   /** The status of a refusal that concerns the endpoint. */
-  int UNAVAILABLE = 503;
+  int SERVICE_UNAVAILABLE = 503;
 
   /** The status of a refusal that concerns the caller. */
-  int TOO_MANY = 429;
+  int TOO_MANY_REQUESTS = 429;
 
   /**
    * The endpoint accepts no requests for a time.
    *
    * @param millis the time, at least 0
    */
-  record Millis(long millis) implements StatedRetryAfter {}
+  record Millis(long millis) implements RetryAfter {}
 
   /** The response contains no time. */
-  record None() implements StatedRetryAfter {}
+  record None() implements RetryAfter {}
 
   /** The response contains an invalid time, which is ignored. */
-  record Unreadable() implements StatedRetryAfter {}
+  record Unreadable() implements RetryAfter {}
 
   /**
    * Reads the time from a response. Only refusals are considered, because in other responses the
@@ -35,8 +35,8 @@
    * @param values the values of its {@code Retry-After} headers
    * @return the time
    */
-  static StatedRetryAfter of(int status, List<String> values) {
-    boolean refusal = status == UNAVAILABLE || status == TOO_MANY;
+  static RetryAfter of(int status, List<String> values) {
+    boolean refusal = status == SERVICE_UNAVAILABLE || status == TOO_MANY_REQUESTS;
     return refusal ? parse(values) : new None();
   }
 
@@ -46,8 +46,8 @@
    * @param values decimal numbers of seconds; empty if the response has no such header
    * @return the time
    */
-  static StatedRetryAfter parse(List<String> values) {
-    StatedRetryAfter longest = values.isEmpty() ? new None() : new Unreadable();
+  static RetryAfter parse(List<String> values) {
+    RetryAfter longest = values.isEmpty() ? new None() : new Unreadable();
     for (String value : values) {
       if (parse(value) instanceof Millis read
           && (!(longest instanceof Millis known) || read.millis() > known.millis())) {
@@ -57,7 +57,7 @@
     return longest;
   }
 
-  private static StatedRetryAfter parse(String value) {
+  private static RetryAfter parse(String value) {
     try {
       double seconds = Double.parseDouble(value.trim());
       if (Double.isFinite(seconds) && seconds >= 0) {
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimDecision.java
@@ -35,7 +35,7 @@
     }
     return switch (row.state()) {
       case ClaimRow.Claimed own when row.token().equals(claim.token()) ->
-          new Done(new ClaimResult.Won(won(claim, row.attempt())));
+          new Done(new ClaimResult.Acquired(won(claim, row.attempt())));
       case ClaimRow.Claimed other -> new Done(held(other, settings, now));
       case ClaimRow.NotRun notRun ->
           new Write(atRevision(seen.get()), claimed(claim, row.attempt() + 1));
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimResult.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimResult.java
@@ -11,11 +11,11 @@
   /**
    * Returns what the caller is told when the request must not be dispatched.
    *
-   * @return empty for {@link Won}, and for {@link Ran} with an answer
+   * @return empty for {@link Acquired}, and for {@link Ran} with an answer
    */
   default Optional<HornbeamusherException> failure() {
     return switch (this) {
-      case Won won -> Optional.empty();
+      case Acquired won -> Optional.empty();
       case Ran ran when ran.answer().isPresent() -> Optional.empty();
       case Ran ran ->
           Optional.of(HornbeamusherException.of(FailureType.CLAIM_ALREADY_RAN, Outcome.RAN));
@@ -33,9 +33,9 @@
   /**
    * This entry, and nobody else, may dispatch the request, once.
    *
-   * @param claim the right to do so; it must be ended by {@link ClaimKeeper#finish}
+   * @param claim the right to do so; it must be ended by {@link ClaimStore#finish}
    */
-  record Won(Claim claim) implements ClaimResult {}
+  record Acquired(Claim claim) implements ClaimResult {}
 
   /**
    * Another send of the request is running.
@@ -49,7 +49,7 @@
    *
    * @param answer its answer, if it was kept
    */
-  record Ran(Optional<StoredAnswer> answer) implements ClaimResult {}
+  record Ran(Optional<StoredResponse> answer) implements ClaimResult {}
 
   /** An earlier send of the request may have run; nobody will ever know. */
   record Unknown() implements ClaimResult {}
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimRow.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimRow.java
@@ -47,7 +47,7 @@
    *
    * @param answer its answer, if it is short enough to be kept
    */
-  public record Ran(Optional<StoredAnswer> answer) implements State {}
+  public record Ran(Optional<StoredResponse> answer) implements State {}
 
   /** The request may have run. */
   public record Unknown() implements State {}
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimRows.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimRows.java
@@ -72,7 +72,7 @@
     };
   }
 
-  private static void packAnswer(MessageBufferPacker packer, Optional<StoredAnswer> answer)
+  private static void packAnswer(MessageBufferPacker packer, Optional<StoredResponse> answer)
       throws IOException {
     packer.packBoolean(answer.isPresent());
     if (answer.isPresent()) {
@@ -83,12 +83,13 @@
     }
   }
 
-  private static Optional<StoredAnswer> unpackAnswer(MessageUnpacker unpacker) throws IOException {
+  private static Optional<StoredResponse> unpackAnswer(MessageUnpacker unpacker)
+      throws IOException {
     if (!unpacker.unpackBoolean()) {
       return Optional.empty();
     }
     return Optional.of(
-        new StoredAnswer(
+        new StoredResponse(
             unpacker.unpackInt(),
             unpacker.unpackString(),
             unpacker.readPayload(unpacker.unpackBinaryHeader())));
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimKeeper.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimStore.java
@@ -47,7 +47,7 @@
  * bar the caller's next send. So the claim is released in the background, by a row that says not
  * run: where there is no row yet, writing it makes the late insert fail.
  */
-public final class ClaimKeeper {
+public final class ClaimStore {
 
   /** Rounds of one claim or one end before it is given up for now. */
   private static final int MAXIMUM_ROUNDS = 4;
@@ -74,8 +74,7 @@
    * @param clock the time
    * @param tokens makes a token that no other claim has
    */
-  public ClaimKeeper(
-      Table table, ClaimSettings settings, Clock clock, Supplier<ClaimToken> tokens) {
+  public ClaimStore(Table table, ClaimSettings settings, Clock clock, Supplier<ClaimToken> tokens) {
     this.table = table;
     this.batcher = new ClaimBatcher(table);
     this.settings = settings;
@@ -90,7 +89,7 @@
           Executors.newSingleThreadScheduledExecutor(
               Thread.ofPlatform().daemon().name("claim-keeper").factory());
       executor.scheduleWithFixedDelay(
-          this::writeAgain, RETRY_MILLIS, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+          this::retryPendingWrites, RETRY_MILLIS, RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -131,7 +130,7 @@
     }
     Claim claim = new Claim(service, timed.get(), tokens.get(), fingerprint, 1, expiryMillis);
     return untilExpiry(
-        claim, round(claim, Optional.empty(), 1, false).exceptionally(ClaimKeeper::unreadable));
+        claim, round(claim, Optional.empty(), 1, false).exceptionally(ClaimStore::unreadable));
   }
 
   /**
@@ -143,18 +142,18 @@
    * @return whether the end is in the table; when it is not, it is tried again in the background
    */
   public CompletableFuture<Boolean> finish(
-      Claim claim, Outcome outcome, Optional<StoredAnswer> answer) {
+      Claim claim, Outcome outcome, Optional<StoredResponse> answer) {
     ClaimRow.State end =
         switch (outcome) {
           case Outcome.NotRun notRun -> new ClaimRow.NotRun();
-          case Outcome.Ran ran -> new ClaimRow.Ran(answer.filter(ClaimKeeper::isShort));
+          case Outcome.Ran ran -> new ClaimRow.Ran(answer.filter(ClaimStore::isShort));
           case Outcome.Unknown unknown -> new ClaimRow.Unknown();
         };
     return write(new Unwritten(claim, end, false));
   }
 
   /** Tries again every end that could not be written; called once a second. */
-  public void writeAgain() {
+  public void retryPendingWrites() {
     List<Unwritten> ends;
     synchronized (this) {
       ends = new ArrayList<>(unwritten);
@@ -194,7 +193,7 @@
     result.thenAccept(
         decided -> {
           boolean late = !answer.complete(decided);
-          if (late && decided instanceof ClaimResult.Won won) {
+          if (late && decided instanceof ClaimResult.Acquired won) {
             finish(won.claim(), Outcome.NOT_RUN, Optional.empty());
           }
         });
@@ -214,7 +213,7 @@
     boolean last = number == MAXIMUM_ROUNDS;
     return switch (step) {
       case Step.Committed committed ->
-          CompletableFuture.completedFuture(new ClaimResult.Won(attempt(claim, write)));
+          CompletableFuture.completedFuture(new ClaimResult.Acquired(attempt(claim, write)));
       case Step.Conflict conflict when !last -> round(claim, conflict.current(), number + 1, lost);
       case Step.Lost again when !last -> readBack(claim, number);
       case Step.Conflict conflict -> unavailable(claim, lost);
@@ -318,8 +317,8 @@
             .causedBy(HornbeamusherException.from(thrown)));
   }
 
-  private static boolean isShort(StoredAnswer answer) {
-    return answer.body().length <= StoredAnswer.MAXIMUM_LENGTH;
+  private static boolean isShort(StoredResponse answer) {
+    return answer.body().length <= StoredResponse.MAXIMUM_LENGTH;
   }
 
   private static CompletableFuture<ClaimResult> refused(HornbeamusherException reason) {
--- a/runtime/src/main/java/org/hornbeamusher/claims/StoredAnswer.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/StoredResponse.java
@@ -9,7 +9,7 @@
  * @param contentType the media type
  * @param body the whole body
  */
-public record StoredAnswer(int status, String contentType, byte[] body) {
+public record StoredResponse(int status, String contentType, byte[] body) {
 
   /**
    * Longest body kept: bookings and valuations are below 1 KiB, an answer of 4,000 tokens is about
@@ -19,7 +19,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof StoredAnswer answer
+    return other instanceof StoredResponse answer
         && status == answer.status
         && contentType.equals(answer.contentType)
         && Arrays.equals(body, answer.body);
--- a/runtime/src/main/java/org/hornbeamusher/clock/SteadyClock.java
+++ b/runtime/src/main/java/org/hornbeamusher/clock/MonotonicClock.java
@@ -9,12 +9,12 @@
  * at once or not for seconds, so every duration inside one process is measured with this clock. Its
  * values mean nothing to another process.
  */
-public final class SteadyClock implements Clock {
+public final class MonotonicClock implements Clock {
 
   /** The only instance. */
-  public static final SteadyClock INSTANCE = new SteadyClock();
+  public static final MonotonicClock INSTANCE = new MonotonicClock();
 
-  private SteadyClock() {}
+  private MonotonicClock() {}
 
   @Override
   public long millis() {
--- a/runtime/src/main/java/org/hornbeamusher/clock/ElapsedClock.java
+++ b/runtime/src/main/java/org/hornbeamusher/clock/SuspendAwareClock.java
@@ -9,11 +9,11 @@
  * than it is, but a step back is never taken off. A suspension that a step back hides within one
  * interval between two readings is not seen, so it has to be read often.
  */
-public final class ElapsedClock implements Clock {
+public final class SuspendAwareClock implements Clock {
 
   /** The machine's. */
-  public static final ElapsedClock INSTANCE =
-      new ElapsedClock(SteadyClock.INSTANCE, SystemClock.INSTANCE);
+  public static final SuspendAwareClock INSTANCE =
+      new SuspendAwareClock(MonotonicClock.INSTANCE, SystemClock.INSTANCE);
 
   /** Readings of two clocks that follow each other differ by a little. */
   private static final long NOISE_MILLIS = 20;
@@ -29,7 +29,7 @@
    * @param steady stands still while the machine is suspended
    * @param timeOfDay goes on, and may be set
    */
-  public ElapsedClock(Clock steady, Clock timeOfDay) {
+  public SuspendAwareClock(Clock steady, Clock timeOfDay) {
     this.steady = steady;
     this.timeOfDay = timeOfDay;
     this.offsetMillis = timeOfDay.millis() - steady.millis();
--- a/runtime/src/main/java/org/hornbeamusher/directory/HeldAdapter.java
+++ b/runtime/src/main/java/org/hornbeamusher/directory/AdapterVersion.java
@@ -8,7 +8,7 @@
  * @param key the adapter or base model
  * @param version its version
  */
-public record HeldAdapter(AdapterKey key, long version) {
+public record AdapterVersion(AdapterKey key, long version) {
 
   private static final char SEPARATOR = '@';
 
@@ -19,12 +19,12 @@
    * @return the adapter and version
    * @throws IllegalArgumentException if the text has no valid version
    */
-  public static HeldAdapter parse(String text) {
+  public static AdapterVersion parse(String text) {
     int at = text.lastIndexOf(SEPARATOR);
     if (at < 0) {
       throw new IllegalArgumentException(text);
     }
-    return new HeldAdapter(
+    return new AdapterVersion(
         AdapterKey.parse(text.substring(0, at)), Long.parseLong(text.substring(at + 1)));
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/directory/Endpoint.java
+++ b/runtime/src/main/java/org/hornbeamusher/directory/Endpoint.java
@@ -3,34 +3,35 @@
 import java.net.URI;
 import java.util.Set;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 
 /**
  * One incarnation of an endpoint, as described by its entry in the list of endpoints.
  *
- * @param life its id, which later incarnations may reuse, and its start time
+ * @param incarnation its id, which later incarnations may reuse, and its start time
  * @param service the service it belongs to
  * @param uri its address; another endpoint may use it after this one has gone
  * @param zone its availability zone
  * @param slots the number of requests it runs at once
  * @param leaving whether it has asked for no new work
  * @param coldMillis remaining time of the slow phase after its start; 0 when that is over
- * @param held the adapters in an engine's memory at its last report, which may be seconds old
+ * @param residentAdapters the adapters in an engine's memory at its last report, which may be
+ *     seconds old
  */
 public record Endpoint(
-    EndpointLife life,
+    EndpointIncarnation incarnation,
     String service,
     URI uri,
     String zone,
     int slots,
     boolean leaving,
     long coldMillis,
-    Set<HeldAdapter> held)
+    Set<AdapterVersion> residentAdapters)
     implements ListedEntry {
 
   /** Copies the set. */
   public Endpoint {
-    held = Set.copyOf(held);
+    residentAdapters = Set.copyOf(residentAdapters);
   }
 
   /**
@@ -39,7 +40,7 @@
    * @return the id, which is the same for all incarnations that start under it
    */
   public EndpointId id() {
-    return life.id();
+    return incarnation.id();
   }
 
   /**
@@ -58,17 +59,17 @@
    * @return an otherwise equal endpoint
    */
   Endpoint withStart(long startMillis) {
-    return startMillis == life.startMillis()
+    return startMillis == incarnation.startMillis()
         ? this
         : new Endpoint(
-            new EndpointLife(id(), startMillis),
+            new EndpointIncarnation(id(), startMillis),
             service,
             uri,
             zone,
             slots,
             leaving,
             coldMillis,
-            held);
+            residentAdapters);
   }
 
   /**
@@ -79,7 +80,7 @@
    */
   Endpoint restartedAt(long startMillis) {
     return new Endpoint(
-        new EndpointLife(id(), startMillis), service, uri, zone, slots, false, 0, Set.of());
+        new EndpointIncarnation(id(), startMillis), service, uri, zone, slots, false, 0, Set.of());
   }
 
   /**
@@ -88,7 +89,7 @@
    * @param next the incarnation that runs there now
    * @return an endpoint that is in service and has no adapters in memory
    */
-  Endpoint succeededBy(EndpointLife next) {
+  Endpoint succeededBy(EndpointIncarnation next) {
     return new Endpoint(next, service, uri, zone, slots, false, 0, Set.of());
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/directory/EndpointDirectory.java
+++ b/runtime/src/main/java/org/hornbeamusher/directory/EndpointDirectory.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 
 /**
  * Determines the current endpoints from successive reads of the endpoint list and from the reports
@@ -92,7 +92,7 @@
    *
    * @param settings the timing of the list
    */
-  public EndpointDirectory(ListSettings settings) {
+  public EndpointDirectory(EndpointListSettings settings) {
     gracePeriod = new GracePeriod(settings);
   }
 
@@ -101,7 +101,7 @@
    *
    * @param sentMillis when the request was sent
    */
-  public void unanswered(long sentMillis) {
+  public void listReadFailed(long sentMillis) {
     gracePeriod.requestFailed(sentMillis);
   }
 
@@ -113,7 +113,7 @@
    * @param now milliseconds
    * @return the changes
    */
-  public Change listed(List<? extends ListedEntry> listed, long requestedMillis, long now) {
+  public Change listReceived(List<? extends ListedEntry> listed, long requestedMillis, long now) {
     final long gap = gracePeriod.received(requestedMillis, now);
     lastListMillis = now;
     lastRequestMillis = requestedMillis;
@@ -126,7 +126,7 @@
       return applyLastList(removeMissing(now));
     }
     long kept = missing.isEmpty() ? 0 : gracePeriod.remainingMillis(now);
-    return applyLastList(List.of()).with(new Absence(newlyMissing, gap, kept));
+    return applyLastList(List.of()).with(new MissingEndpoints(newlyMissing, gap, kept));
   }
 
   /**
@@ -175,7 +175,7 @@
    * @param configured the names of all services
    * @return the changes
    */
-  public Change configured(Set<String> configured) {
+  public Change servicesChanged(Set<String> configured) {
     services = Optional.of(Set.copyOf(configured));
     return applyLastList(List.of());
   }
@@ -232,10 +232,10 @@
    * @param incarnation the reported incarnation
    * @return the changes; none for an endpoint that is not listed yet
    */
-  public Change agentReported(EndpointLife incarnation) {
+  public Change agentReported(EndpointIncarnation incarnation) {
     ChangeBuilder changes = new ChangeBuilder();
     IncarnationTracker tracker = tracker(incarnation.id());
-    EndpointLife before = new EndpointLife(incarnation.id(), tracker.current());
+    EndpointIncarnation before = new EndpointIncarnation(incarnation.id(), tracker.current());
     tracker.agentReported(incarnation.startMillis());
     addEnded(before, tracker, changes);
     Endpoint old = known.get(incarnation.id());
@@ -254,7 +254,7 @@
    * @param now milliseconds
    * @return the changes
    */
-  public Change agentReported(EndpointLife incarnation, String address, long now) {
+  public Change agentReported(EndpointIncarnation incarnation, String address, long now) {
     Optional<Endpoint> former =
         known.containsKey(incarnation.id())
             ? Optional.empty()
@@ -269,7 +269,7 @@
    * process that has just started cannot know it otherwise, because the entry of the previous
    * endpoint stays for seconds and still lists all adapters that it had in memory.
    */
-  private Change resolveAddress(EndpointLife incarnation, String address, long now) {
+  private Change resolveAddress(EndpointIncarnation incarnation, String address, long now) {
     Change change = agentReported(incarnation);
     List<Endpoint> others =
         known.values().stream()
@@ -284,16 +284,16 @@
     List<Endpoint> changed = new ArrayList<>(change.changed());
     changed.addAll(applyLastList(List.of()).changed());
     endpoint(incarnation.id()).ifPresent(replacements::recordEndpoint);
-    List<EndpointLife> ended = new ArrayList<>(change.ended());
-    others.forEach(one -> ended.add(one.life()));
+    List<EndpointIncarnation> ended = new ArrayList<>(change.ended());
+    others.forEach(one -> ended.add(one.incarnation()));
     return new Change(changed, others, ended, change.unusable());
   }
 
-  private Change replaceFormer(Endpoint former, EndpointLife incarnation, long now) {
+  private Change replaceFormer(Endpoint former, EndpointIncarnation incarnation, long now) {
     replacements.announce(incarnation.id(), former.id(), now);
     tracker(incarnation.id()).agentReported(incarnation.startMillis());
     ChangeBuilder changes = new ChangeBuilder();
-    changes.ended.add(former.life());
+    changes.ended.add(former.incarnation());
     replace(null, former.succeededBy(incarnation), changes);
     boolean listed = known.remove(former.id()) != null;
     return new Change(
@@ -317,11 +317,12 @@
 
   private void update(Endpoint entry, ChangeBuilder changes) {
     IncarnationTracker tracker = tracker(entry.id());
-    EndpointLife before = new EndpointLife(entry.id(), tracker.current());
-    tracker.listed(entry.life().startMillis());
+    EndpointIncarnation before = new EndpointIncarnation(entry.id(), tracker.current());
+    tracker.listed(entry.incarnation().startMillis());
     addEnded(before, tracker, changes);
     Endpoint old = known.get(entry.id());
-    boolean current = EndpointLife.sameStart(entry.life().startMillis(), tracker.current());
+    boolean current =
+        EndpointIncarnation.maybeSameStart(entry.incarnation().startMillis(), tracker.current());
     if (current) {
       replace(old, entry.withStart(tracker.current()), changes);
     } else if (old == null && tracker.agentConnected()) {
@@ -331,13 +332,13 @@
   }
 
   private static Endpoint withStart(Endpoint old, long start) {
-    return EndpointLife.sameStart(old.life().startMillis(), start)
+    return EndpointIncarnation.maybeSameStart(old.incarnation().startMillis(), start)
         ? old.withStart(start)
         : old.restartedAt(start);
   }
 
   private void replace(Endpoint old, Endpoint endpoint, ChangeBuilder changes) {
-    boolean sameIncarnation = old != null && old.life().sameAs(endpoint.life());
+    boolean sameIncarnation = old != null && old.incarnation().maybeSameAs(endpoint.incarnation());
     if (endpoint.equals(old) || (sameIncarnation && old.leaving() && !endpoint.leaving())) {
       return;
     }
@@ -351,8 +352,8 @@
    * while: requests may still be pending there.
    */
   private static void addEnded(
-      EndpointLife before, IncarnationTracker tracker, ChangeBuilder changes) {
-    if (!EndpointLife.sameStart(before.startMillis(), tracker.current())) {
+      EndpointIncarnation before, IncarnationTracker tracker, ChangeBuilder changes) {
+    if (!EndpointIncarnation.maybeSameStart(before.startMillis(), tracker.current())) {
       changes.ended.add(before);
     }
   }
@@ -412,37 +413,37 @@
    * The changes by a list, a configuration or an agent's report.
    *
    * @param changed new and changed endpoints, and later incarnations of known ones
-   * @param gone removed endpoints
+   * @param removed removed endpoints
    * @param ended incarnations that have been replaced by another one
    * @param unusable entries that have become unusable, or are unusable for another reason than
    *     before
-   * @param absence endpoints that are missing from a list and are kept
+   * @param missing endpoints that are missing from a list and are kept
    */
   public record Change(
       List<Endpoint> changed,
-      List<Endpoint> gone,
-      List<EndpointLife> ended,
+      List<Endpoint> removed,
+      List<EndpointIncarnation> ended,
       List<UnusableEntry> unusable,
-      Absence absence) {
+      MissingEndpoints missing) {
 
     Change(
         List<Endpoint> changed,
         List<Endpoint> gone,
-        List<EndpointLife> ended,
+        List<EndpointIncarnation> ended,
         List<UnusableEntry> unusable) {
-      this(changed, gone, ended, unusable, Absence.NONE);
+      this(changed, gone, ended, unusable, MissingEndpoints.NONE);
     }
 
     /** Copies the lists. */
     public Change {
       changed = List.copyOf(changed);
-      gone = List.copyOf(gone);
+      removed = List.copyOf(removed);
       ended = List.copyOf(ended);
       unusable = List.copyOf(unusable);
     }
 
-    private Change with(Absence missing) {
-      return new Change(changed, gone, ended, unusable, missing);
+    private Change with(MissingEndpoints missing) {
+      return new Change(changed, removed, ended, unusable, missing);
     }
   }
 
@@ -453,12 +454,12 @@
    * @param gapMillis time from the arrival of the previous list until this one was requested
    * @param keptMillis for how long the endpoints are kept from now; 0 when none is kept
    */
-  public record Absence(List<EndpointId> endpoints, long gapMillis, long keptMillis) {
+  public record MissingEndpoints(List<EndpointId> endpoints, long gapMillis, long keptMillis) {
 
-    static final Absence NONE = new Absence(List.of(), 0, 0);
+    static final MissingEndpoints NONE = new MissingEndpoints(List.of(), 0, 0);
 
     /** Copies the list. */
-    public Absence {
+    public MissingEndpoints {
       endpoints = List.copyOf(endpoints);
     }
   }
@@ -467,7 +468,7 @@
   private static final class ChangeBuilder {
 
     private final List<Endpoint> changed = new ArrayList<>();
-    private final List<EndpointLife> ended = new ArrayList<>();
+    private final List<EndpointIncarnation> ended = new ArrayList<>();
     private final List<UnusableEntry> unusable = new ArrayList<>();
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/directory/ListSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/directory/EndpointListSettings.java
@@ -9,7 +9,7 @@
  * @param contactMillis the time within which a process that can reach the store again must have
  *     applied the list
  */
-public record ListSettings(long pauseMillis, long renewalMillis, long contactMillis) {
+public record EndpointListSettings(long pauseMillis, long renewalMillis, long contactMillis) {
 
   /**
    * Two of the three intervals remain when a gap begins, because the last renewal is at most one
--- a/runtime/src/main/java/org/hornbeamusher/directory/GracePeriod.java
+++ b/runtime/src/main/java/org/hornbeamusher/directory/GracePeriod.java
@@ -32,12 +32,12 @@
    */
   private static final long MAX_RETRY_INTERVAL_MILLIS = 1_000;
 
-  private final ListSettings settings;
+  private final EndpointListSettings settings;
   private long receivedMillis = NEVER;
   private long failedRequestMillis = NEVER;
   private long endMillis = NEVER;
 
-  GracePeriod(ListSettings settings) {
+  GracePeriod(EndpointListSettings settings) {
     this.settings = settings;
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/directory/IncarnationTracker.java
+++ b/runtime/src/main/java/org/hornbeamusher/directory/IncarnationTracker.java
@@ -3,7 +3,7 @@
 import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 
 /**
  * Determines the current incarnation of one endpoint id from two unsynchronised sources.
@@ -43,27 +43,27 @@
   private static final int MAX_FORMER = 16;
 
   private final Set<Long> former = new LinkedHashSet<>();
-  private long listed = EndpointLife.UNKNOWN_START;
-  private long reported = EndpointLife.UNKNOWN_START;
-  private long current = EndpointLife.UNKNOWN_START;
+  private long listed = EndpointIncarnation.UNKNOWN_START;
+  private long reported = EndpointIncarnation.UNKNOWN_START;
+  private long current = EndpointIncarnation.UNKNOWN_START;
   private boolean agentConnected;
 
   /** Applies the incarnation that the list contains. */
   void listed(long start) {
-    if (start == EndpointLife.UNKNOWN_START || start == listed || former.contains(start)) {
+    if (start == EndpointIncarnation.UNKNOWN_START || start == listed || former.contains(start)) {
       return;
     }
     markFormer(listed);
     listed = start;
     boolean undecided = agentConnected && reported == current && !former.contains(current);
-    if (current == EndpointLife.UNKNOWN_START || !undecided) {
+    if (current == EndpointIncarnation.UNKNOWN_START || !undecided) {
       current = start;
     }
   }
 
   /** Applies the incarnation that the endpoint's agent reports. */
   void agentReported(long start) {
-    if (start == EndpointLife.UNKNOWN_START || former.contains(start)) {
+    if (start == EndpointIncarnation.UNKNOWN_START || former.contains(start)) {
       return;
     }
     agentConnected = true;
@@ -89,7 +89,7 @@
   }
 
   private void markFormer(long start) {
-    if (start == EndpointLife.UNKNOWN_START) {
+    if (start == EndpointIncarnation.UNKNOWN_START) {
       return;
     }
     former.add(start);
--- a/runtime/src/main/java/org/hornbeamusher/dispatch/AgentLink.java
+++ b/runtime/src/main/java/org/hornbeamusher/dispatch/AgentLink.java
@@ -66,10 +66,10 @@
    * @param attempt the attempt that the message belongs to
    * @param message the message
    */
-  public void heard(long attempt, Message message) {
+  public void messageReceived(long attempt, Message message) {
     AttemptCall call = calls.get(attempt);
     if (call != null) {
-      call.add(new AttemptEvent.Said(message));
+      call.add(new AttemptEvent.MessageReceived(message));
     }
   }
 
@@ -78,7 +78,7 @@
    *
    * @param reason the cause
    */
-  public void lost(HornbeamusherException reason) {
+  public void connectionLost(HornbeamusherException reason) {
     for (AttemptCall call : calls.values()) {
       call.add(new AttemptEvent.ConnectionLost(reason));
     }
--- a/runtime/src/main/java/org/hornbeamusher/dispatch/AttemptEvent.java
+++ b/runtime/src/main/java/org/hornbeamusher/dispatch/AttemptEvent.java
@@ -11,7 +11,7 @@
    *
    * @param message a started, head, chunk, closing or failed message
    */
-  record Said(Message message) implements AttemptEvent {}
+  record MessageReceived(Message message) implements AttemptEvent {}
 
   /**
    * The connection to the agent was lost.
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentCodec.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentCodec.java
@@ -11,11 +11,11 @@
 import java.util.Set;
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
-import org.hornbeamusher.documents.ServiceDocument.Adapter;
+import org.hornbeamusher.documents.ServiceDocument.AdapterDeclaration;
 import org.hornbeamusher.documents.ServiceDocument.CallPattern;
-import org.hornbeamusher.documents.ServiceDocument.Kind;
-import org.hornbeamusher.documents.ServiceDocument.Limits;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
+import org.hornbeamusher.documents.ServiceDocument.ServiceKind;
+import org.hornbeamusher.documents.ServiceDocument.ServiceLimits;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.failure.Outcome;
@@ -56,12 +56,12 @@
     return encoded(
         packer -> {
           switch (update) {
-            case DocumentUpdate.Nothing nothing -> packer.packInt(NOTHING);
-            case DocumentUpdate.Whole whole -> {
+            case DocumentUpdate.NoUpdate nothing -> packer.packInt(NOTHING);
+            case DocumentUpdate.FullDocument whole -> {
               packer.packInt(WHOLE);
               packDocument(packer, whole.document());
             }
-            case DocumentUpdate.Differences differences -> {
+            case DocumentUpdate.Deltas differences -> {
               packer.packInt(DIFFERENCES);
               packer.packArrayHeader(differences.deltas().size());
               for (DocumentDelta delta : differences.deltas()) {
@@ -84,9 +84,9 @@
         unpacker -> {
           int kind = unpacker.unpackInt();
           return switch (kind) {
-            case NOTHING -> new DocumentUpdate.Nothing();
-            case WHOLE -> new DocumentUpdate.Whole(unpackDocument(unpacker));
-            case DIFFERENCES -> new DocumentUpdate.Differences(unpackDeltas(unpacker));
+            case NOTHING -> new DocumentUpdate.NoUpdate();
+            case WHOLE -> new DocumentUpdate.FullDocument(unpackDocument(unpacker));
+            case DIFFERENCES -> new DocumentUpdate.Deltas(unpackDeltas(unpacker));
             default -> throw malformed("document update " + kind);
           };
         });
@@ -190,22 +190,22 @@
         unpacker.unpackBoolean(),
         new PoolName(unpacker.unpackString()),
         unpackKind(unpacker),
-        new Weights(unpacker.unpackDouble(), unpacker.unpackDouble()),
+        new CostWeights(unpacker.unpackDouble(), unpacker.unpackDouble()),
         unpackLimits(unpacker),
         unpackCallers(unpacker));
   }
 
-  private static void packKind(MessageBufferPacker packer, Kind kind) throws IOException {
+  private static void packKind(MessageBufferPacker packer, ServiceKind kind) throws IOException {
     switch (kind) {
-      case Kind.Model model -> {
+      case ServiceKind.Model model -> {
         packer.packInt(MODEL);
         packer.packString(model.baseModel());
         packAdapters(packer, model.adapters());
         packer.packBoolean(model.fencing());
-        packer.packInt(model.slots());
+        packer.packInt(model.adapterSlots());
         packer.packInt(model.batch());
       }
-      case Kind.Plain plain -> {
+      case ServiceKind.Plain plain -> {
         packer.packInt(PLAIN);
         packer.packArrayHeader(plain.nonRepeatable().size());
         for (CallPattern pattern : plain.nonRepeatable()) {
@@ -217,17 +217,17 @@
     }
   }
 
-  private static Kind unpackKind(MessageUnpacker unpacker) throws IOException {
+  private static ServiceKind unpackKind(MessageUnpacker unpacker) throws IOException {
     int kind = unpacker.unpackInt();
     return switch (kind) {
       case MODEL ->
-          new Kind.Model(
+          new ServiceKind.Model(
               unpacker.unpackString(),
               unpackAdapters(unpacker),
               unpacker.unpackBoolean(),
               unpacker.unpackInt(),
               unpacker.unpackInt());
-      case PLAIN -> new Kind.Plain(unpackPatterns(unpacker), unpacker.unpackInt());
+      case PLAIN -> new ServiceKind.Plain(unpackPatterns(unpacker), unpacker.unpackInt());
       default -> throw malformed("service kind " + kind);
     };
   }
@@ -241,29 +241,31 @@
     return patterns;
   }
 
-  private static void packAdapters(MessageBufferPacker packer, Map<AdapterName, Adapter> adapters)
+  private static void packAdapters(
+      MessageBufferPacker packer, Map<AdapterName, AdapterDeclaration> adapters)
       throws IOException {
     packer.packMapHeader(adapters.size());
-    for (Map.Entry<AdapterName, Adapter> entry : adapters.entrySet()) {
+    for (Map.Entry<AdapterName, AdapterDeclaration> entry : adapters.entrySet()) {
       packer.packString(entry.getKey().value());
       packer.packInt(entry.getValue().current());
       packer.packArrayHeader(entry.getValue().versions().size());
       for (int version : entry.getValue().versions()) {
         packer.packInt(version);
       }
-      packer.packString(entry.getValue().weights());
+      packer.packString(entry.getValue().weightsLocation());
     }
   }
 
-  private static Map<AdapterName, Adapter> unpackAdapters(MessageUnpacker unpacker)
+  private static Map<AdapterName, AdapterDeclaration> unpackAdapters(MessageUnpacker unpacker)
       throws IOException {
     int size = unpacker.unpackMapHeader();
-    Map<AdapterName, Adapter> adapters = new HashMap<>();
+    Map<AdapterName, AdapterDeclaration> adapters = new HashMap<>();
     for (int i = 0; i < size; i++) {
       AdapterName name = new AdapterName(unpacker.unpackString());
       adapters.put(
           name,
-          new Adapter(unpacker.unpackInt(), unpackVersions(unpacker), unpacker.unpackString()));
+          new AdapterDeclaration(
+              unpacker.unpackInt(), unpackVersions(unpacker), unpacker.unpackString()));
     }
     return adapters;
   }
@@ -277,16 +279,17 @@
     return versions;
   }
 
-  private static void packLimits(MessageBufferPacker packer, Limits limits) throws IOException {
+  private static void packLimits(MessageBufferPacker packer, ServiceLimits limits)
+      throws IOException {
     packer.packInt(limits.share());
-    packer.packInt(limits.queue());
+    packer.packInt(limits.maxQueueLength());
     packer.packLong(limits.defaultDeadlineMillis());
     packer.packLong(limits.maximumDeadlineMillis());
     packer.packInt(limits.maximumTokens());
   }
 
-  private static Limits unpackLimits(MessageUnpacker unpacker) throws IOException {
-    return new Limits(
+  private static ServiceLimits unpackLimits(MessageUnpacker unpacker) throws IOException {
+    return new ServiceLimits(
         unpacker.unpackInt(),
         unpacker.unpackInt(),
         unpacker.unpackLong(),
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentDelta.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentDelta.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.hornbeamusher.documents.ServiceDocument.Adapter;
-import org.hornbeamusher.documents.ServiceDocument.Kind;
+import org.hornbeamusher.documents.ServiceDocument.AdapterDeclaration;
+import org.hornbeamusher.documents.ServiceDocument.ServiceKind;
 import org.hornbeamusher.ids.AdapterName;
 
 /**
@@ -24,7 +24,7 @@
 public record DocumentDelta(
     long baseVersion,
     ServiceDocument head,
-    Map<AdapterName, Adapter> changed,
+    Map<AdapterName, AdapterDeclaration> changed,
     Set<AdapterName> removed) {
 
   /** Copies the collections. */
@@ -41,9 +41,9 @@
    * @return what leads from one to the other
    */
   public static DocumentDelta between(ServiceDocument older, ServiceDocument newer) {
-    Map<AdapterName, Adapter> before = adapters(older);
-    Map<AdapterName, Adapter> after = adapters(newer);
-    Map<AdapterName, Adapter> changed = new HashMap<>(after);
+    Map<AdapterName, AdapterDeclaration> before = adapters(older);
+    Map<AdapterName, AdapterDeclaration> after = adapters(newer);
+    Map<AdapterName, AdapterDeclaration> changed = new HashMap<>(after);
     changed.entrySet().removeIf(entry -> entry.getValue().equals(before.get(entry.getKey())));
     Set<AdapterName> removed = new HashSet<>(before.keySet());
     removed.removeAll(after.keySet());
@@ -62,27 +62,31 @@
     if (!fits) {
       return Optional.empty();
     }
-    Map<AdapterName, Adapter> adapters = new HashMap<>(adapters(held));
+    Map<AdapterName, AdapterDeclaration> adapters = new HashMap<>(adapters(held));
     adapters.keySet().removeAll(removed);
     adapters.putAll(changed);
     return Optional.of(withAdapters(head, adapters));
   }
 
-  private static Map<AdapterName, Adapter> adapters(ServiceDocument document) {
+  private static Map<AdapterName, AdapterDeclaration> adapters(ServiceDocument document) {
     return switch (document.kind()) {
-      case Kind.Model model -> model.adapters();
-      case Kind.Plain plain -> Map.of();
+      case ServiceKind.Model model -> model.adapters();
+      case ServiceKind.Plain plain -> Map.of();
     };
   }
 
   private static ServiceDocument withAdapters(
-      ServiceDocument document, Map<AdapterName, Adapter> adapters) {
+      ServiceDocument document, Map<AdapterName, AdapterDeclaration> adapters) {
     return switch (document.kind()) {
-      case Kind.Model model ->
+      case ServiceKind.Model model ->
           document.withKind(
-              new Kind.Model(
-                  model.baseModel(), adapters, model.fencing(), model.slots(), model.batch()));
-      case Kind.Plain plain -> document;
+              new ServiceKind.Model(
+                  model.baseModel(),
+                  adapters,
+                  model.fencing(),
+                  model.adapterSlots(),
+                  model.batch()));
+      case ServiceKind.Plain plain -> document;
     };
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentRows.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentRows.java
@@ -49,7 +49,7 @@
   }
 
   static RowKey attempt(PartnerId owner, RefusedAttempt attempt, String submission) {
-    String time = ordered(attempt.triedMillis());
+    String time = ordered(attempt.attemptedMillis());
     return new RowKey(TABLE, attemptPrefix(owner, attempt.service()) + time + "-" + submission);
   }
 
@@ -121,7 +121,7 @@
         packer -> {
           packer.packString(attempt.service().value());
           packPrincipal(packer, attempt.author());
-          packer.packLong(attempt.triedMillis());
+          packer.packLong(attempt.attemptedMillis());
         });
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentStore.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentStore.java
@@ -61,9 +61,9 @@
   public CompletableFuture<SubmitResult> submit(
       String fileName, String text, long baseVersion, Principal author) {
     return switch (ServiceDocumentReader.read(fileName, text)) {
-      case DocumentReading.Invalid invalid ->
+      case DocumentParseResult.Invalid invalid ->
           CompletableFuture.completedFuture(new SubmitResult.Invalid(invalid.problems()));
-      case DocumentReading.Valid valid -> {
+      case DocumentParseResult.Valid valid -> {
         Submission.Change change = new Submission.Change.Replace(valid.document(), text);
         yield round(new Submission(change, baseVersion, author, tokens.get()), 1, false);
       }
@@ -113,7 +113,7 @@
    * @return the document; fails with {@code DOCUMENT_FORBIDDEN} for another partner's service and
    *     {@code DOCUMENT_UNKNOWN} when there is none
    */
-  public CompletableFuture<StoredDocument> show(ServiceName service, Principal reader) {
+  public CompletableFuture<StoredDocument> readForOperator(ServiceName service, Principal reader) {
     return stored(service)
         .thenApply(
             found -> {
@@ -133,13 +133,13 @@
    * @param reader whom the token stands for
    * @param afterVersion only later versions; 0 from the start
    * @param limit at most this many
-   * @return the changes; fails as {@link #show} does
+   * @return the changes; fails as {@link #readForOperator} does
    */
   public CompletableFuture<List<StoredDocument>> history(
       ServiceName service, Principal reader, long afterVersion, int limit) {
     String prefix = DocumentRows.auditPrefix(reader.partner(), service);
     String after = prefix + DocumentRows.ordered(afterVersion);
-    return show(service, reader)
+    return readForOperator(service, reader)
         .thenCompose(shown -> table.scan(DocumentRows.TABLE, prefix, after, limit))
         .thenApply(rows -> rows.stream().map(DocumentRows::decodeDocument).toList());
   }
@@ -153,7 +153,7 @@
    * @param limit at most this many
    * @return the attempts on a service of the reader's partner
    */
-  public CompletableFuture<List<RefusedAttempt>> attempts(
+  public CompletableFuture<List<RefusedAttempt>> refusedAttempts(
       ServiceName service, Principal reader, long afterMillis, int limit) {
     String prefix = DocumentRows.attemptPrefix(reader.partner(), service);
     String after = prefix + DocumentRows.ordered(afterMillis);
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentSync.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentSync.java
@@ -19,10 +19,10 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * Keeps a process's {@link DocumentHolder} up to date.
+ * Keeps a process's {@link LatestDocuments} up to date.
  *
  * <p>Two ways lead to a newer version. An entry polls the table as {@link PollPlan} says. And every
- * heartbeat between an entry and an agent carries {@link DocumentHolder#digestHash}, eight bytes;
+ * heartbeat between an entry and an agent carries {@link LatestDocuments#digestHash}, eight bytes;
  * where it differs from the own one, the process asks that peer for its digest and pulls what is
  * newer there, as differences where the peer still knows them. A change so travels entry, agents,
  * entries, agents, at most one heartbeat a step, and faster when the owner of the connections sends
@@ -36,7 +36,7 @@
   /** Longest wait for one poll, after which the table is looked at again. */
   private static final long POLL_TIMEOUT_MILLIS = 15_000;
 
-  private final DocumentHolder holder;
+  private final LatestDocuments holder;
   private final DocumentStore store;
   private final Clock clock;
   private final PollPlan plan;
@@ -59,7 +59,7 @@
    * @param random draws the jitter
    */
   public DocumentSync(
-      DocumentHolder holder,
+      LatestDocuments holder,
       DocumentStore store,
       Clock clock,
       PollPlan plan,
@@ -78,7 +78,7 @@
    *
    * @param listener is told of every newer version
    */
-  public void listen(DocumentListener listener) {
+  public void addListener(DocumentListener listener) {
     listeners.add(listener);
   }
 
@@ -111,7 +111,7 @@
       polling =
           store
               .versions()
-              .thenCompose(versions -> readAll(holder.missing(versions).iterator()))
+              .thenCompose(versions -> readAll(holder.newerThanHeld(versions).iterator()))
               .handle((done, thrown) -> polled(thrown));
     }
     return polling.copy();
@@ -121,9 +121,9 @@
    * Takes in the hash that a peer's heartbeat carried.
    *
    * @param peer who sent it
-   * @param digestHash its {@link DocumentHolder#digestHash}
+   * @param digestHash its {@link LatestDocuments#digestHash}
    */
-  public void heard(DocumentPeer peer, long digestHash) {
+  public void digestHashReceived(DocumentPeer peer, long digestHash) {
     if (beginDigest(peer, digestHash)) {
       peer.digest().whenComplete((digest, thrown) -> digestAnswered(peer, digestHash, digest));
     }
@@ -134,7 +134,7 @@
    *
    * @param peer the peer
    */
-  public synchronized void forget(DocumentPeer peer) {
+  public synchronized void removePeer(DocumentPeer peer) {
     ledger.forget(peer);
   }
 
@@ -145,12 +145,12 @@
   private void digestAnswered(DocumentPeer peer, long peerHash, Map<ServiceName, Long> digest) {
     synchronized (this) {
       ledger.digestEnded(peer);
-      if (digest != null && holder.missing(digest).isEmpty()) {
+      if (digest != null && holder.newerThanHeld(digest).isEmpty()) {
         ledger.nothingNewer(peer, peerHash, holder.digestHash());
       }
     }
     if (digest != null) {
-      holder.missing(digest).forEach(service -> pull(peer, service));
+      holder.newerThanHeld(digest).forEach(service -> pull(peer, service));
     }
   }
 
@@ -160,7 +160,7 @@
         return;
       }
     }
-    long have = holder.held(service).map(ServiceDocument::version).orElse(0L);
+    long have = holder.latest(service).map(ServiceDocument::version).orElse(0L);
     peer.pull(service, have)
         .whenComplete(
             (update, thrown) -> {
@@ -197,7 +197,7 @@
   }
 
   private boolean isNewer(ServiceDocument document) {
-    return holder.offer(document) instanceof DocumentHolder.Offered.Newer;
+    return holder.offer(document) instanceof LatestDocuments.Offered.Newer;
   }
 
   private void report(ServiceDocument document) {
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentUpdate.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentUpdate.java
@@ -6,24 +6,24 @@
 public sealed interface DocumentUpdate {
 
   /** The peer holds nothing newer. */
-  record Nothing() implements DocumentUpdate {}
+  record NoUpdate() implements DocumentUpdate {}
 
   /**
    * The document at the version the peer holds.
    *
    * @param document perhaps a tombstone
    */
-  record Whole(ServiceDocument document) implements DocumentUpdate {}
+  record FullDocument(ServiceDocument document) implements DocumentUpdate {}
 
   /**
    * The differences from the version the process holds, each based on the one before.
    *
    * @param deltas at least one
    */
-  record Differences(List<DocumentDelta> deltas) implements DocumentUpdate {
+  record Deltas(List<DocumentDelta> deltas) implements DocumentUpdate {
 
     /** Copies the list. */
-    public Differences {
+    public Deltas {
       deltas = List.copyOf(deltas);
     }
   }
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentHolder.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/LatestDocuments.java
@@ -18,7 +18,7 @@
  * other (a tombstone), so that a late copy of the deleted document cannot bring the service back.
  * May be used by several threads at once.
  */
-public final class DocumentHolder {
+public final class LatestDocuments {
 
   /**
    * Differences kept of each service: at one change a second, half a minute of a partner's storm.
@@ -95,9 +95,9 @@
    */
   public Optional<ServiceDocument> apply(DocumentUpdate update) {
     return switch (update) {
-      case DocumentUpdate.Nothing nothing -> Optional.empty();
-      case DocumentUpdate.Whole whole -> inForce(whole.document(), Optional.empty());
-      case DocumentUpdate.Differences differences -> applyAll(differences.deltas());
+      case DocumentUpdate.NoUpdate nothing -> Optional.empty();
+      case DocumentUpdate.FullDocument whole -> inForce(whole.document(), Optional.empty());
+      case DocumentUpdate.Deltas differences -> applyAll(differences.deltas());
     };
   }
 
@@ -111,15 +111,15 @@
   public DocumentUpdate updateSince(ServiceName service, long haveVersion) {
     ServiceDocument held = documents.get(service);
     if (held == null || held.version() <= haveVersion) {
-      return new DocumentUpdate.Nothing();
+      return new DocumentUpdate.NoUpdate();
     }
     List<DocumentDelta> deltas =
         recent.getOrDefault(service, List.of()).stream()
             .dropWhile(delta -> delta.baseVersion() != haveVersion)
             .toList();
     return deltas.isEmpty()
-        ? new DocumentUpdate.Whole(held)
-        : new DocumentUpdate.Differences(deltas);
+        ? new DocumentUpdate.FullDocument(held)
+        : new DocumentUpdate.Deltas(deltas);
   }
 
   /**
@@ -129,7 +129,7 @@
    * @return empty when the service is unknown or deleted
    */
   public Optional<ServiceDocument> current(ServiceName service) {
-    return held(service).filter(document -> !document.deleted());
+    return latest(service).filter(document -> !document.deleted());
   }
 
   /**
@@ -138,7 +138,7 @@
    * @param service the service
    * @return empty when the service was never seen
    */
-  public Optional<ServiceDocument> held(ServiceName service) {
+  public Optional<ServiceDocument> latest(ServiceName service) {
     return Optional.ofNullable(documents.get(service));
   }
 
@@ -184,11 +184,11 @@
    * @param digest the peer's digest
    * @return the services to pull from it
    */
-  public Set<ServiceName> missing(Map<ServiceName, Long> digest) {
+  public Set<ServiceName> newerThanHeld(Map<ServiceName, Long> digest) {
     Set<ServiceName> missing = new TreeSet<>();
     digest.forEach(
         (service, version) -> {
-          if (held(service).map(ServiceDocument::version).orElse(0L) < version) {
+          if (latest(service).map(ServiceDocument::version).orElse(0L) < version) {
             missing.add(service);
           }
         });
@@ -222,7 +222,7 @@
   private Optional<ServiceDocument> applyAll(List<DocumentDelta> deltas) {
     Optional<ServiceDocument> last = Optional.empty();
     for (DocumentDelta delta : deltas) {
-      Optional<ServiceDocument> newer = held(delta.head().service()).flatMap(delta::applyTo);
+      Optional<ServiceDocument> newer = latest(delta.head().service()).flatMap(delta::applyTo);
       last = newer.flatMap(document -> inForce(document, Optional.of(delta)));
     }
     return last;
--- a/runtime/src/main/java/org/hornbeamusher/documents/RefusedAttempt.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/RefusedAttempt.java
@@ -7,6 +7,6 @@
  *
  * @param service the service
  * @param author who tried
- * @param triedMillis when, by the clock of the entry that refused it
+ * @param attemptedMillis when, by the clock of the entry that refused it
  */
-public record RefusedAttempt(ServiceName service, Principal author, long triedMillis) {}
+public record RefusedAttempt(ServiceName service, Principal author, long attemptedMillis) {}
--- a/runtime/src/main/java/org/hornbeamusher/documents/ServiceDocument.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/ServiceDocument.java
@@ -30,9 +30,9 @@
     long version,
     boolean deleted,
     PoolName pool,
-    Kind kind,
-    Weights weights,
-    Limits limits,
+    ServiceKind kind,
+    CostWeights weights,
+    ServiceLimits limits,
     Map<CallerId, Integer> callerWeights) {
 
   /** Copies the map. */
@@ -58,13 +58,13 @@
    * @param newKind what runs its requests
    * @return a copy
    */
-  ServiceDocument withKind(Kind newKind) {
+  ServiceDocument withKind(ServiceKind newKind) {
     return new ServiceDocument(
         service, partner, team, version, deleted, pool, newKind, weights, limits, callerWeights);
   }
 
   /** What runs a service's requests. */
-  public sealed interface Kind {
+  public sealed interface ServiceKind {
 
     /**
      * Model engines that hold adapters.
@@ -72,12 +72,16 @@
      * @param baseModel the base model's name as the engine knows it
      * @param adapters every adapter by name
      * @param fencing whether the engines refuse orders with an old fencing number
-     * @param slots how many adapters an engine holds at once
+     * @param adapterSlots how many adapters an engine holds at once
      * @param batch how many requests an engine runs at once
      */
     record Model(
-        String baseModel, Map<AdapterName, Adapter> adapters, boolean fencing, int slots, int batch)
-        implements Kind {
+        String baseModel,
+        Map<AdapterName, AdapterDeclaration> adapters,
+        boolean fencing,
+        int adapterSlots,
+        int batch)
+        implements ServiceKind {
 
       /** Copies the map. */
       public Model {
@@ -91,7 +95,7 @@
      * @param nonRepeatable calls that must run at most once
      * @param concurrency how many calls one endpoint runs at once
      */
-    record Plain(List<CallPattern> nonRepeatable, int concurrency) implements Kind {
+    record Plain(List<CallPattern> nonRepeatable, int concurrency) implements ServiceKind {
 
       /** Copies the list. */
       public Plain {
@@ -105,12 +109,12 @@
    *
    * @param current the version a request gets that names none
    * @param versions every version that may be named
-   * @param weights where the weight store keeps it; {@code {version}} is replaced
+   * @param weightsLocation where the weight store keeps it; {@code {version}} is replaced
    */
-  public record Adapter(int current, List<Integer> versions, String weights) {
+  public record AdapterDeclaration(int current, List<Integer> versions, String weightsLocation) {
 
     /** Copies the list. */
-    public Adapter {
+    public AdapterDeclaration {
       versions = List.copyOf(versions);
     }
   }
@@ -129,20 +133,20 @@
    * @param loadStall weight of a millisecond spent waiting for a load; 0 to 100
    * @param batchEfficiency weight of filling batches; 0 to 100
    */
-  public record Weights(double loadStall, double batchEfficiency) {}
+  public record CostWeights(double loadStall, double batchEfficiency) {}
 
   /**
    * Bounds of a service.
    *
    * @param share the service's part of its partner's share, from 1
-   * @param queue most requests that wait at one endpoint
+   * @param maxQueueLength most requests that wait at one endpoint
    * @param defaultDeadlineMillis the deadline of a request that names none
    * @param maximumDeadlineMillis the longest deadline a request may name
    * @param maximumTokens most tokens a request may ask for
    */
-  public record Limits(
+  public record ServiceLimits(
       int share,
-      int queue,
+      int maxQueueLength,
       long defaultDeadlineMillis,
       long maximumDeadlineMillis,
       int maximumTokens) {}
--- a/runtime/src/main/java/org/hornbeamusher/documents/ServiceDocumentReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/ServiceDocumentReader.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.regex.Pattern;
-import org.hornbeamusher.documents.ServiceDocument.Adapter;
+import org.hornbeamusher.documents.ServiceDocument.AdapterDeclaration;
 import org.hornbeamusher.documents.ServiceDocument.CallPattern;
-import org.hornbeamusher.documents.ServiceDocument.Kind;
-import org.hornbeamusher.documents.ServiceDocument.Limits;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
+import org.hornbeamusher.documents.ServiceDocument.ServiceKind;
+import org.hornbeamusher.documents.ServiceDocument.ServiceLimits;
 import org.hornbeamusher.ids.AdapterName;
 import org.hornbeamusher.ids.CallerId;
 import org.hornbeamusher.ids.PartnerId;
@@ -57,19 +57,19 @@
    * @param text the whole text
    * @return the document at version 0, or everything that is wrong with it
    */
-  public static DocumentReading read(String fileName, String text) {
+  public static DocumentParseResult read(String fileName, String text) {
     if (text.length() > MAXIMUM_TEXT_LENGTH) {
       String detail = "must not be longer than " + MAXIMUM_TEXT_LENGTH + " characters";
       Problem problem = new Problem(fileName, 0, "", Problem.Kind.OUT_OF_RANGE, detail);
-      return new DocumentReading.Invalid(new Problems(List.of(problem)));
+      return new DocumentParseResult.Invalid(new Problems(List.of(problem)));
     }
     TomlChecker root = TomlDocument.parse(fileName, text).checker();
     ServiceDocument document = document(root);
     List<Problem> problems = root.problems();
     if (problems.isEmpty()) {
-      return new DocumentReading.Valid(document);
+      return new DocumentParseResult.Valid(document);
     }
-    return new DocumentReading.Invalid(new Problems(problems));
+    return new DocumentParseResult.Invalid(new Problems(problems));
   }
 
   private static ServiceDocument document(TomlChecker root) {
@@ -86,7 +86,7 @@
         callers(root.optionalTable("callers")));
   }
 
-  private static Kind kind(TomlChecker root) {
+  private static ServiceKind kind(TomlChecker root) {
     boolean model = root.has("model");
     boolean plain = root.has("plain");
     if (model == plain) {
@@ -96,13 +96,13 @@
     return plain ? plain(root.table("plain")) : model(root);
   }
 
-  private static Kind model(TomlChecker root) {
+  private static ServiceKind model(TomlChecker root) {
     TomlChecker model = root.optionalTable("model");
     if (!root.has("model")) {
-      return new Kind.Model("", Map.of(), false, 1, 1);
+      return new ServiceKind.Model("", Map.of(), false, 1, 1);
     }
     String pattern = model.string("weights", "");
-    return new Kind.Model(
+    return new ServiceKind.Model(
         model.string("base_model"),
         adapters(root.optionalTable("adapters"), pattern),
         model.bool("fencing", false),
@@ -110,19 +110,19 @@
         (int) model.integer("batch", 1, MAXIMUM_BATCH));
   }
 
-  private static Map<AdapterName, Adapter> adapters(TomlChecker table, String pattern) {
-    Map<AdapterName, Adapter> adapters = new HashMap<>();
+  private static Map<AdapterName, AdapterDeclaration> adapters(TomlChecker table, String pattern) {
+    Map<AdapterName, AdapterDeclaration> adapters = new HashMap<>();
     table
         .tablesByKey()
         .forEach(
             (key, checker) -> {
-              Adapter adapter = adapter(checker, key, pattern);
+              AdapterDeclaration adapter = adapter(checker, key, pattern);
               table.keyAs(key, AdapterName::new).ifPresent(name -> adapters.put(name, adapter));
             });
     return adapters;
   }
 
-  private static Adapter adapter(TomlChecker table, String name, String pattern) {
+  private static AdapterDeclaration adapter(TomlChecker table, String name, String pattern) {
     int current = (int) table.integer("current", 1, Integer.MAX_VALUE);
     List<Integer> versions =
         table.integers("versions", 1, Integer.MAX_VALUE).stream().map(Long::intValue).toList();
@@ -134,7 +134,7 @@
     } else if (!weights.contains(VERSION_PLACE)) {
       table.record("weights", Problem.Kind.INVALID_VALUE, "must contain " + VERSION_PLACE);
     }
-    return new Adapter(current, versions, weights.replace(ADAPTER_PLACE, name));
+    return new AdapterDeclaration(current, versions, weights.replace(ADAPTER_PLACE, name));
   }
 
   private static void checkVersions(TomlChecker table, int current, List<Integer> versions) {
@@ -151,10 +151,10 @@
     }
   }
 
-  private static Kind plain(TomlChecker plain) {
+  private static ServiceKind plain(TomlChecker plain) {
     List<CallPattern> patterns =
         plain.tables("non_repeatable").stream().map(ServiceDocumentReader::pattern).toList();
-    return new Kind.Plain(patterns, (int) plain.integer("concurrency", 1, MAXIMUM_BATCH));
+    return new ServiceKind.Plain(patterns, (int) plain.integer("concurrency", 1, MAXIMUM_BATCH));
   }
 
   private static CallPattern pattern(TomlChecker table) {
@@ -169,13 +169,13 @@
     return new CallPattern(method, path);
   }
 
-  private static Weights weights(TomlChecker table) {
+  private static CostWeights weights(TomlChecker table) {
     double loadStall = table.number("load_stall", 0, MAXIMUM_WEIGHT, 1);
     double batchEfficiency = table.number("batch_efficiency", 0, MAXIMUM_WEIGHT, 1);
-    return new Weights(loadStall, batchEfficiency);
+    return new CostWeights(loadStall, batchEfficiency);
   }
 
-  private static Limits limits(TomlChecker table) {
+  private static ServiceLimits limits(TomlChecker table) {
     int share = (int) table.integer("share", 1, MAXIMUM_SHARE, 1);
     int queue = (int) table.integer("queue", 1, MAXIMUM_QUEUE, DEFAULT_QUEUE);
     long deadline =
@@ -187,7 +187,7 @@
       table.record("default_deadline_ms", Problem.Kind.INVALID_VALUE, detail);
     }
     int tokens = (int) table.integer("maximum_tokens", 1, MAXIMUM_TOKENS, DEFAULT_TOKENS);
-    return new Limits(share, queue, deadline, maximum, tokens);
+    return new ServiceLimits(share, queue, deadline, maximum, tokens);
   }
 
   private static Map<CallerId, Integer> callers(TomlChecker table) {
--- a/runtime/src/main/java/org/hornbeamusher/documents/StoredDocument.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/StoredDocument.java
@@ -31,8 +31,8 @@
    */
   public ServiceDocument document() {
     return switch (ServiceDocumentReader.read(service.value(), text)) {
-      case DocumentReading.Valid valid -> valid.document().at(version, deleted);
-      case DocumentReading.Invalid invalid ->
+      case DocumentParseResult.Valid valid -> valid.document().at(version, deleted);
+      case DocumentParseResult.Invalid invalid ->
           throw DocumentRows.malformed(invalid.problems().toString());
     };
   }
--- a/runtime/src/main/java/org/hornbeamusher/endpoint/EngineOrders.java
+++ b/runtime/src/main/java/org/hornbeamusher/endpoint/EngineOrderClient.java
@@ -11,19 +11,19 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
-import org.hornbeamusher.availability.StatedRetryAfter;
+import org.hornbeamusher.availability.RetryAfter;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.failure.Outcome;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
-import org.hornbeamusher.http.HttpReply;
+import org.hornbeamusher.http.HttpRequest;
+import org.hornbeamusher.http.HttpResponse;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.ids.FencingNumber;
 
 /** Orders to one engine, and what it says of itself. */
-public final class EngineOrders {
+public final class EngineOrderClient {
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int OK = 200;
@@ -36,7 +36,7 @@
   private final URI uri;
   private final HttpClient http;
   private final long orderTimeoutMillis;
-  private volatile Consumer<StatedRetryAfter> retryAfter = stated -> {};
+  private volatile Consumer<RetryAfter> retryAfter = stated -> {};
 
   /**
    * Creates a client of one engine.
@@ -46,7 +46,7 @@
    * @param http carries the calls
    * @param orderTimeoutMillis how long an order may take before its answer counts as lost
    */
-  public EngineOrders(EndpointId endpoint, URI uri, HttpClient http, long orderTimeoutMillis) {
+  public EngineOrderClient(EndpointId endpoint, URI uri, HttpClient http, long orderTimeoutMillis) {
     this.endpoint = endpoint;
     this.uri = uri;
     this.http = http;
@@ -58,18 +58,18 @@
    *
    * @param listener called on the client's threads
    */
-  public void onRetryAfter(Consumer<StatedRetryAfter> listener) {
+  public void onRetryAfter(Consumer<RetryAfter> listener) {
     retryAfter = listener;
   }
 
-  private CompletableFuture<HttpReply> send(HttpCall call, long timeoutMillis) {
+  private CompletableFuture<HttpResponse> send(HttpRequest call, long timeoutMillis) {
     return http.send(call, timeoutMillis)
         .whenComplete(
             (reply, thrown) -> {
               if (thrown == null) {
-                String time = reply.headers().get(StatedRetryAfter.FIELD);
+                String time = reply.headers().get(RetryAfter.FIELD);
                 List<String> times = time == null ? List.of() : List.of(time);
-                retryAfter.accept(StatedRetryAfter.of(reply.status(), times));
+                retryAfter.accept(RetryAfter.of(reply.status(), times));
               }
             });
   }
@@ -116,7 +116,7 @@
     ObjectNode order = JSON.createObjectNode();
     order.put("request_id", requestId);
     byte[] body = order.toString().getBytes(StandardCharsets.UTF_8);
-    return send(HttpCall.postJson(uri.resolve("/v1/cancel"), body), STATE_TIMEOUT_MILLIS)
+    return send(HttpRequest.postJson(uri.resolve("/v1/cancel"), body), STATE_TIMEOUT_MILLIS)
         .thenAccept(reply -> {});
   }
 
@@ -126,17 +126,17 @@
    * @return its state; fails with {@code CONNECT_FAILED} when nothing listens
    */
   public CompletableFuture<EngineState> state() {
-    return send(HttpCall.get(uri.resolve("/state")), STATE_TIMEOUT_MILLIS)
+    return send(HttpRequest.get(uri.resolve("/state")), STATE_TIMEOUT_MILLIS)
         .thenApply(this::parseState);
   }
 
   private CompletableFuture<Void> order(String path, ObjectNode order, AdapterRef adapter) {
     byte[] body = order.toString().getBytes(StandardCharsets.UTF_8);
-    return send(HttpCall.postJson(uri.resolve(path), body), orderTimeoutMillis)
+    return send(HttpRequest.postJson(uri.resolve(path), body), orderTimeoutMillis)
         .thenAccept(reply -> check(reply, adapter));
   }
 
-  private void check(HttpReply reply, AdapterRef adapter) {
+  private void check(HttpResponse reply, AdapterRef adapter) {
     if (reply.status() == OK) {
       return;
     }
@@ -146,7 +146,7 @@
     throw HornbeamusherException.notRun(FailureType.LOAD_FAILED, adapter);
   }
 
-  private EngineState parseState(HttpReply reply) {
+  private EngineState parseState(HttpResponse reply) {
     try {
       JsonNode json = JSON.readTree(reply.body());
       Set<AdapterRef> resident = new HashSet<>();
@@ -163,7 +163,7 @@
     }
   }
 
-  private static String bodyText(HttpReply reply) {
+  private static String bodyText(HttpResponse reply) {
     return new String(reply.body(), StandardCharsets.UTF_8);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/entry/AgentLinks.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/AgentLinks.java
@@ -20,12 +20,12 @@
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.AvailabilityZone;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.Incarnation;
 import org.hornbeamusher.ids.InvalidIdentifierException;
 import org.hornbeamusher.ids.PoolName;
+import org.hornbeamusher.ids.ProcessIncarnation;
 import org.hornbeamusher.membership.ConnectionPlan;
-import org.hornbeamusher.membership.ListedPeer;
 import org.hornbeamusher.membership.PeerEvent;
+import org.hornbeamusher.membership.PeerListEntry;
 import org.hornbeamusher.membership.PeerTable;
 import org.hornbeamusher.routing.EndpointLoad;
 import org.hornbeamusher.status.ProcessStatus;
@@ -67,7 +67,7 @@
   /** The process at the other end of one connection. */
   private static final class Agent {
     final long connection;
-    final Incarnation incarnation;
+    final ProcessIncarnation incarnation;
     final AgentLink link;
     final AvailabilityZone zone;
     final PoolName pool;
@@ -83,7 +83,7 @@
 
     Agent(long connection, Message.Hello hello, AgentLink link) {
       this.connection = connection;
-      this.incarnation = new Incarnation(hello.incarnation());
+      this.incarnation = new ProcessIncarnation(hello.incarnation());
       this.link = link;
       this.zone = new AvailabilityZone(hello.zone());
       this.pool = new PoolName(hello.pool());
@@ -109,14 +109,14 @@
 
   /** Takes in the platform's list of agents. */
   synchronized void follow(List<Instance> listed) {
-    List<ConnectionPlan.Place> places = new ArrayList<>();
-    List<ListedPeer> peers = new ArrayList<>();
+    List<ConnectionPlan.AgentLocation> places = new ArrayList<>();
+    List<PeerListEntry> peers = new ArrayList<>();
     for (Instance agent : listed) {
-      places.add(new ConnectionPlan.Place(address(agent), agent.zone()));
-      peers.add(new ListedPeer(address(agent), agent.id(), agent.leaving()));
+      places.add(new ConnectionPlan.AgentLocation(address(agent), agent.zone()));
+      peers.add(new PeerListEntry(address(agent), agent.id(), agent.leaving()));
     }
     Set<String> chosen =
-        ConnectionPlan.choose(own.instance(), new AvailabilityZone(own.zone()), places);
+        ConnectionPlan.chooseAgents(own.instance(), new AvailabilityZone(own.zone()), places);
     listed.stream()
         .filter(agent -> chosen.contains(address(agent)))
         .forEach(agent -> connectors.computeIfAbsent(address(agent), key -> connect(agent)));
@@ -125,7 +125,7 @@
         connectors.remove(known).stopWhenClosed();
       }
     }
-    apply(table.listed(peers));
+    apply(table.updateFromList(peers));
   }
 
   /** Returns how many connections to agents are open. */
@@ -134,15 +134,15 @@
   }
 
   /** Describes every endpoint that a connection leads to, in order of their names. */
-  synchronized List<ProcessStatus.Endpoint> status() {
+  synchronized List<ProcessStatus.EndpointStatus> status() {
     return current.values().stream()
         .sorted(Comparator.comparing(agent -> agent.link.endpoint()))
         .map(AgentLinks::status)
         .toList();
   }
 
-  private static ProcessStatus.Endpoint status(Agent agent) {
-    return new ProcessStatus.Endpoint(
+  private static ProcessStatus.EndpointStatus status(Agent agent) {
+    return new ProcessStatus.EndpointStatus(
         agent.link.endpoint(),
         agent.zone,
         agent.pool,
@@ -195,11 +195,11 @@
     Agent agent =
         new Agent(number, hello, new AgentLink(new EndpointId(hello.endpoint()), connection));
     agents.put(connection, agent);
-    apply(table.introduced(address, number, hello.instance(), agent.incarnation));
+    apply(table.helloReceived(address, number, hello.instance(), agent.incarnation));
   }
 
   private synchronized void leaving(String address, Agent agent) {
-    apply(table.leaving(address, agent.incarnation));
+    apply(table.leavingReceived(address, agent.incarnation));
   }
 
   private synchronized void closed(
@@ -212,7 +212,7 @@
         EventType.PEER_LOST, "peer", connection.peer().instance(), "reason", reason.type());
     apply(table.disconnected(address, agent.connection));
     stopWork(agent);
-    agent.link.lost(reason);
+    agent.link.connectionLost(reason);
   }
 
   private void apply(List<PeerEvent> events) {
@@ -227,7 +227,7 @@
     }
   }
 
-  private List<Agent> agentsOf(Incarnation incarnation) {
+  private List<Agent> agentsOf(ProcessIncarnation incarnation) {
     return agents.values().stream().filter(agent -> agent.incarnation.equals(incarnation)).toList();
   }
 
@@ -253,7 +253,7 @@
     if (!agent.takesWork || current.get(agent.link.endpoint()) != agent) {
       return;
     }
-    if (report.batch() == 0) {
+    if (report.batchCapacity() == 0) {
       unroute(agent);
       return;
     }
@@ -271,8 +271,8 @@
     return new EndpointLoad(
         report.running(),
         report.queued(),
-        report.batch(),
-        report.slots(),
+        report.batchCapacity(),
+        report.adapterCapacity(),
         report.queueWaitMillis(),
         report.loadWaitMillis(),
         resident);
@@ -294,7 +294,7 @@
         exchange.opened(connection);
         EventLog.log(EventType.PEER_CONNECTED, "peer", hello.instance());
       } catch (InvalidIdentifierException e) {
-        connection.stop();
+        connection.close();
       }
     }
 
@@ -305,11 +305,11 @@
         return;
       }
       switch (message) {
-        case Message.Started m -> agent.link.heard(m.attempt(), m);
-        case Message.Head m -> agent.link.heard(m.attempt(), m);
-        case Message.Chunk m -> agent.link.heard(m.attempt(), m);
-        case Message.Closing m -> agent.link.heard(m.attempt(), m);
-        case Message.Failed m -> agent.link.heard(m.attempt(), m);
+        case Message.Started m -> agent.link.messageReceived(m.attempt(), m);
+        case Message.Head m -> agent.link.messageReceived(m.attempt(), m);
+        case Message.Chunk m -> agent.link.messageReceived(m.attempt(), m);
+        case Message.ResponseEnd m -> agent.link.messageReceived(m.attempt(), m);
+        case Message.Failed m -> agent.link.messageReceived(m.attempt(), m);
         case Message.LoadReport m -> reported(agent, m);
         case Message.Leaving m -> leaving(address, agent);
         default -> {
@@ -326,12 +326,12 @@
     }
 
     @Override
-    public long digest() {
+    public long documentDigest() {
       return exchange.digest();
     }
 
     @Override
-    public void heartbeat(WireConnection connection, long digest) {
+    public void heartbeatReceived(WireConnection connection, long digest) {
       exchange.heartbeat(connection, digest);
     }
   }
--- a/runtime/src/main/java/org/hornbeamusher/entry/AnswerReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/AnswerReader.java
@@ -6,24 +6,24 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.hornbeamusher.answers.AnswerAssembler;
-import org.hornbeamusher.answers.AnswerState;
-import org.hornbeamusher.answers.Delivery;
 import org.hornbeamusher.dispatch.AttemptCall;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.failure.Outcome;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.EndpointId;
+import org.hornbeamusher.responses.AssemblyResult;
+import org.hornbeamusher.responses.ResponseAssembler;
+import org.hornbeamusher.responses.ResponseState;
 import org.hornbeamusher.wire.Message;
 
 /**
  * Reads the chunks of one attempt and checks that they are the whole answer of the right adapter.
  *
- * <p>Three things are checked, each against a different fault. {@link AnswerAssembler} checks what
- * may happen between the processes: frames lost, doubled, late or damaged. The engine's own end
- * mark must have come: else the engine's stream was cut and closed cleanly. Every event must name
- * the adapter and version that was asked for: else the engine ran another one.
+ * <p>Three things are checked, each against a different fault. {@link ResponseAssembler} checks
+ * what may happen between the processes: frames lost, doubled, late or damaged. The engine's own
+ * end mark must have come: else the engine's stream was cut and closed cleanly. Every event must
+ * name the adapter and version that was asked for: else the engine ran another one.
  */
 final class AnswerReader {
 
@@ -32,7 +32,7 @@
 
   private final EndpointId endpoint;
   private final Optional<AdapterRef> adapter;
-  private final AnswerAssembler assembler;
+  private final ResponseAssembler assembler;
   private final ServerSentEvents events = new ServerSentEvents();
   private boolean endMarkSeen;
   private String finishReason = "";
@@ -42,11 +42,12 @@
   AnswerReader(EndpointId endpoint, Optional<AdapterRef> adapter, long attempt) {
     this.endpoint = endpoint;
     this.adapter = adapter;
-    this.assembler = new AnswerAssembler(attempt, AttemptCall.INITIAL_CREDIT);
+    this.assembler = new ResponseAssembler(attempt, AttemptCall.INITIAL_CREDIT);
   }
 
   List<AnswerPart> read(Message.Chunk chunk) {
-    Delivery delivery = assembler.part(chunk.attempt(), chunk.sequence(), chunk.bytes());
+    AssemblyResult delivery =
+        assembler.partReceived(chunk.attempt(), chunk.sequence(), chunk.bytes());
     List<AnswerPart> parts = new ArrayList<>();
     for (byte[] bytes : delivery.parts()) {
       readPart(bytes, parts);
@@ -54,20 +55,20 @@
     return parts;
   }
 
-  void read(Message.Closing closing) {
-    assembler.closing(closing.attempt(), closing.chunks(), closing.checksum());
+  void read(Message.ResponseEnd closing) {
+    assembler.closingReceived(closing.attempt(), closing.chunks(), closing.checksum());
   }
 
   /** Returns the end once the answer is whole; empty while more frames may come. */
   Optional<AnswerEnd> end() {
     return switch (assembler.state()) {
-      case AnswerState.Open open -> Optional.empty();
-      case AnswerState.Whole whole when adapter.isEmpty() -> Optional.of(AnswerEnd.PLAIN);
-      case AnswerState.Whole whole when endMarkSeen ->
+      case ResponseState.Open open -> Optional.empty();
+      case ResponseState.Complete whole when adapter.isEmpty() -> Optional.of(AnswerEnd.PLAIN);
+      case ResponseState.Complete whole when endMarkSeen ->
           Optional.of(new AnswerEnd(finishReason, promptTokens, completionTokens));
-      case AnswerState.Whole whole -> throw cut();
-      case AnswerState.Cut cut -> throw cut();
-      case AnswerState.Mismatch mismatch -> throw cut();
+      case ResponseState.Complete whole -> throw cut();
+      case ResponseState.Truncated cut -> throw cut();
+      case ResponseState.Mismatch mismatch -> throw cut();
     };
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/entry/AnswerWriter.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/AnswerWriter.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.entry;
 
 import java.util.Optional;
-import org.hornbeamusher.claims.StoredAnswer;
+import org.hornbeamusher.claims.StoredResponse;
 import org.hornbeamusher.failure.HornbeamusherException;
 
 /** Writes one answer in the form its caller asked for. */
@@ -23,10 +23,10 @@
   void keep(int maximumLength);
 
   /** Returns the whole answer as it was written, if it was kept. */
-  Optional<StoredAnswer> kept();
+  Optional<StoredResponse> kept();
 
   /** Writes an answer that an earlier send of the same request got. */
-  void replay(StoredAnswer answer);
+  void replay(StoredResponse answer);
 
   /** Tells whether the caller has received any part of the answer. */
   boolean delivered();
--- a/runtime/src/main/java/org/hornbeamusher/entry/AttemptFollower.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/AttemptFollower.java
@@ -53,7 +53,7 @@
   }
 
   /** Returns when the answer is whole and written. */
-  AttemptResult.Answered follow(EntryDecisions decisions)
+  AttemptResult.Completed follow(EntryDecisions decisions)
       throws InterruptedException, AttemptFailedException {
     boolean ended = false;
     try {
@@ -96,16 +96,16 @@
     }
   }
 
-  private AttemptResult.Answered answered() {
+  private AttemptResult.Completed answered() {
     long first = firstPartMillis < 0 ? clock.millis() : firstPartMillis;
-    return new AttemptResult.Answered(
+    return new AttemptResult.Completed(
         first - sentMillis, clock.millis() - sentMillis, loadStallMillis, tokens);
   }
 
   /** Takes in an event and tells whether the answer is whole. */
   private boolean handle(AttemptEvent event) throws AttemptFailedException {
     return switch (event) {
-      case AttemptEvent.Said said -> handle(said.message());
+      case AttemptEvent.MessageReceived said -> handle(said.message());
       case AttemptEvent.ConnectionLost lost ->
           throw failed(
               of(FailureType.ENDPOINT_LOST, endpoint).causedBy(lost.reason()),
@@ -126,7 +126,7 @@
                   head.status(),
                   head.contentType()));
       case Message.Chunk chunk -> write(chunk);
-      case Message.Closing closing -> reader.read(closing);
+      case Message.ResponseEnd closing -> reader.read(closing);
       case Message.Failed failed -> throw agentFailure(failed);
       default ->
           throw failed(of(FailureType.ANSWER_CUT, endpoint), new AttemptResult.Failed(), false);
@@ -147,7 +147,7 @@
   }
 
   private AttemptFailedException agentFailure(Message.Failed message) {
-    FailureType type = FailureType.ofNumber(message.failure());
+    FailureType type = FailureType.ofNumber(message.failureNumber());
     Outcome outcome = Outcome.ofLabel(message.outcome());
     HornbeamusherException failure =
         HornbeamusherException.of(type, outcome, endpoint, message.detail());
--- a/runtime/src/main/java/org/hornbeamusher/entry/CallerApi.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/CallerApi.java
@@ -22,7 +22,7 @@
 import org.hornbeamusher.ids.InvalidIdentifierException;
 import org.hornbeamusher.ids.RequestId;
 import org.hornbeamusher.ids.ServiceName;
-import org.hornbeamusher.quarantine.Fingerprint;
+import org.hornbeamusher.quarantine.RequestFingerprint;
 import org.hornbeamusher.security.Identity;
 import org.hornbeamusher.security.TokenDirectory;
 
@@ -211,7 +211,7 @@
     String path = slash < 0 ? "/" : rest.substring(slash);
     ServiceName service = ModelName.service(name + "/");
     ServiceDocument document = document(caller, service, name);
-    if (!(document.kind() instanceof ServiceDocument.Kind.Plain kind)) {
+    if (!(document.kind() instanceof ServiceDocument.ServiceKind.Plain kind)) {
       throw HornbeamusherException.notRun(FailureType.UNKNOWN_PATH, exchange.getRequestPath());
     }
     String method = exchange.getRequestMethod().toString();
@@ -229,7 +229,7 @@
             caller.id(),
             Optional.empty(),
             new AdmittedRequest.EndpointCall(method, target, contentType, body),
-            Fingerprint.of(service.value(), method + " " + target, body, Map.of()),
+            RequestFingerprint.of(service.value(), method + " " + target, body, Map.of()),
             0,
             PLAIN_COST_TOKENS,
             0,
@@ -245,7 +245,7 @@
     ArrayNode data = list.putArray("data");
     for (ServiceDocument document : host.documents()) {
       if (caller.mayCall(document.service(), document.partner())
-          && document.kind() instanceof ServiceDocument.Kind.Model model) {
+          && document.kind() instanceof ServiceDocument.ServiceKind.Model model) {
         model.adapters().entrySet().stream()
             .sorted(Comparator.comparing(entry -> entry.getKey()))
             .forEach(
@@ -325,7 +325,7 @@
   }
 
   private static long fingerprint(ServiceName service, String adapter, ModelRequest request) {
-    return Fingerprint.of(
+    return RequestFingerprint.of(
         service.value(),
         adapter,
         request.prompt().getBytes(StandardCharsets.UTF_8),
--- a/runtime/src/main/java/org/hornbeamusher/entry/ClaimedRun.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/ClaimedRun.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.hornbeamusher.claims.Claim;
-import org.hornbeamusher.claims.ClaimKeeper;
 import org.hornbeamusher.claims.ClaimResult;
-import org.hornbeamusher.claims.StoredAnswer;
+import org.hornbeamusher.claims.ClaimStore;
+import org.hornbeamusher.claims.StoredResponse;
 import org.hornbeamusher.clock.Clock;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
@@ -32,10 +32,10 @@
     void run() throws InterruptedException;
   }
 
-  private final ClaimKeeper claims;
+  private final ClaimStore claims;
   private final Clock clock;
 
-  ClaimedRun(ClaimKeeper claims, Clock clock) {
+  ClaimedRun(ClaimStore claims, Clock clock) {
     this.claims = claims;
     this.clock = clock;
   }
@@ -55,7 +55,7 @@
       throw failure.get();
     }
     switch (result) {
-      case ClaimResult.Won won -> runWon(won.claim(), writer, attempts);
+      case ClaimResult.Acquired won -> runWon(won.claim(), writer, attempts);
       case ClaimResult.Ran ran -> ran.answer().ifPresent(writer::replay);
       default -> throw HornbeamusherException.of(FailureType.INTERNAL, Outcome.UNKNOWN, result);
     }
@@ -67,7 +67,7 @@
       if (!claim.mayDispatch(clock.millis())) {
         throw HornbeamusherException.notRun(FailureType.DEADLINE_PASSED);
       }
-      writer.keep(StoredAnswer.MAXIMUM_LENGTH);
+      writer.keep(StoredResponse.MAXIMUM_LENGTH);
       attempts.run();
     } catch (HornbeamusherException failed) {
       claims
--- a/runtime/src/main/java/org/hornbeamusher/entry/EntryDaemon.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/EntryDaemon.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.random.RandomGenerator;
 import org.hornbeamusher.claims.ClaimCleaner;
-import org.hornbeamusher.claims.ClaimKeeper;
 import org.hornbeamusher.claims.ClaimSettings;
+import org.hornbeamusher.claims.ClaimStore;
 import org.hornbeamusher.clock.Clock;
 import org.hornbeamusher.dispatch.AgentLink;
 import org.hornbeamusher.documents.ServiceDocument;
@@ -30,7 +30,7 @@
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.ids.PoolName;
 import org.hornbeamusher.ids.ServiceName;
-import org.hornbeamusher.membership.PeerCount;
+import org.hornbeamusher.membership.RecentMaximumPeerCount;
 import org.hornbeamusher.metrics.MetricsReport;
 import org.hornbeamusher.metrics.ProcessMetric;
 import org.hornbeamusher.operator.OperatorApi;
@@ -40,7 +40,7 @@
 import org.hornbeamusher.retry.RetrySettings;
 import org.hornbeamusher.routing.AttemptResult;
 import org.hornbeamusher.settings.EntrySettings;
-import org.hornbeamusher.suspects.SuspectRows;
+import org.hornbeamusher.suspects.SuspectStore;
 import org.hornbeamusher.table.Instance;
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireConnection;
@@ -62,7 +62,7 @@
   private final EntrySettings settings;
   private final ProcessServices services;
   private final Clock clock;
-  private final ClaimKeeper claims;
+  private final ClaimStore claims;
   private final ClaimCleaner cleaner;
   private final EntryDecisions decisions;
   private final AgentLinks links;
@@ -75,8 +75,8 @@
   /** Entries in the newest list, at least this one; they share the polling of the table. */
   private final AtomicInteger entries = new AtomicInteger(1);
 
-  private final PeerCount allEntries = new PeerCount(COUNTED_MILLIS);
-  private final PeerCount sharingEntries = new PeerCount(COUNTED_MILLIS);
+  private final RecentMaximumPeerCount allEntries = new RecentMaximumPeerCount(COUNTED_MILLIS);
+  private final RecentMaximumPeerCount sharingEntries = new RecentMaximumPeerCount(COUNTED_MILLIS);
 
   private volatile boolean leaving;
   private final QuarantineLog quarantined = new QuarantineLog();
@@ -95,7 +95,7 @@
     this.clock = clock;
     this.services = new ProcessServices(settings.platform(), entries::get, clock);
     this.claims =
-        new ClaimKeeper(
+        new ClaimStore(
             services.table(),
             ClaimSettings.STANDARD,
             clock,
@@ -145,10 +145,11 @@
         new HttpListener(
             settings.http(),
             Undertow.builder()
-                .setServerOption(UndertowOptions.MAX_HEADER_SIZE, settings.limits().headerBytes())
+                .setServerOption(
+                    UndertowOptions.MAX_HEADER_SIZE, settings.limits().maxHeaderBytes())
                 .setServerOption(
                     UndertowOptions.REQUEST_PARSE_TIMEOUT,
-                    (int) settings.limits().requestMillis()));
+                    (int) settings.limits().requestTimeoutMillis()));
     listener.start(handler());
     EventLog.log(
         EventType.PROCESS_STARTED, "role", "entry", "instance", settings.instance(), "at", uri());
@@ -165,7 +166,7 @@
    *
    * @throws InterruptedException when waiting is interrupted
    */
-  public void awaitLeaving() throws InterruptedException {
+  public void awaitDrain() throws InterruptedException {
     leaveOrdered.await();
   }
 
@@ -205,7 +206,7 @@
    *
    * @return those that are connected, reachable and not leaving
    */
-  public int routedEndpoints() {
+  public int routableEndpointCount() {
     return links.routed();
   }
 
@@ -222,24 +223,24 @@
     RequestRunner runner =
         new RequestRunner(
             decisions,
-            new SuspectRows(services.table(), QuarantineSettings.DEFAULT, clock),
+            new SuspectStore(services.table(), QuarantineSettings.DEFAULT, clock),
             new RunnerHost(),
             claims,
             clock);
     CallerApi callers =
         new CallerApi(
             new ApiHost(),
-            settings.tokens(),
+            settings.tokenDirectory(),
             runner,
             requests,
             clock,
-            settings.limits().bodyBytes(),
-            settings.limits().stalledMillis());
+            settings.limits().maxBodyBytes(),
+            settings.limits().stallTimeoutMillis());
     OperatorApi operators =
         new OperatorApi(
             new EntryOperations(
                 settings, services, links, quarantined, inFlight::get, () -> leaving, this::drain),
-            settings.tokens(),
+            settings.tokenDirectory(),
             new MetricsReport(services.metrics()));
     return operators.mount(new PathHandler(callers));
   }
@@ -265,10 +266,10 @@
   private synchronized void listed(List<Instance> instances) {
     long now = clock.millis();
     long listed = instances.stream().filter(i -> i.role() == Instance.Role.ENTRY).count();
-    allEntries.counted((int) Math.max(1, listed), now);
-    sharingEntries.counted(sharing(instances), now);
-    entries.set(allEntries.most().orElse(1));
-    decisions.entryCount(sharingEntries.most().orElse(1));
+    allEntries.record((int) Math.max(1, listed), now);
+    sharingEntries.record(sharing(instances), now);
+    entries.set(allEntries.maximum().orElse(1));
+    decisions.entryCount(sharingEntries.maximum().orElse(1));
     links.follow(instances.stream().filter(i -> i.role() == Instance.Role.AGENT).toList());
   }
 
@@ -310,10 +311,10 @@
     }
 
     @Override
-    public void answered(ServiceName service, AttemptResult.Answered answer) {
+    public void answered(ServiceName service, AttemptResult.Completed answer) {
       services
           .metrics()
-          .answered(
+          .recordResponse(
               service, answer.loadStallMillis(), answer.firstTokenMillis(), answer.totalMillis());
     }
 
@@ -352,12 +353,12 @@
 
     @Override
     public int mostRequests() {
-      return settings.limits().inFlight();
+      return settings.limits().maxInFlight();
     }
 
     @Override
     public void refused(ServiceName service, HornbeamusherException failure) {
-      services.metrics().refused(service, failure.type());
+      services.metrics().recordRefusal(service, failure.type());
       EventLog.log(
           EventType.REQUEST_REFUSED,
           "service",
--- a/runtime/src/main/java/org/hornbeamusher/entry/EntryDecisions.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/EntryDecisions.java
@@ -96,11 +96,11 @@
   }
 
   synchronized AdmissionDecision admit(PoolName pool, AdmissionRequest request) {
-    long limit = AdmissionSettings.limit(router.places(pool), entries);
+    long limit = AdmissionSettings.limit(router.batchCapacity(pool), entries);
     AdmissionPolicy admission =
         admissions.computeIfAbsent(
             pool, key -> new AdmissionPolicy(AdmissionSettings.of(limit, partnerShares)));
-    admission.limit(limit);
+    admission.setInFlightLimit(limit);
     return admission.admit(request, clock.millis());
   }
 
@@ -120,7 +120,7 @@
   }
 
   synchronized void fingerprintStarted(long fingerprint, EndpointId endpoint) {
-    quarantine.started(fingerprint, endpoint, clock.millis());
+    quarantine.attemptStarted(fingerprint, endpoint, clock.millis());
   }
 
   synchronized Set<EndpointId> endpointsRunningSuspects() {
@@ -129,19 +129,19 @@
 
   /** Takes in how fast an answer comes that is under way. */
   synchronized void progress(EndpointId endpoint, long busyMillis, int tokens) {
-    router.progress(endpoint, busyMillis, tokens, clock.millis());
+    router.progressReported(endpoint, busyMillis, tokens, clock.millis());
   }
 
   synchronized void fingerprintEnded(long fingerprint) {
-    quarantine.ended(fingerprint, clock.millis());
+    quarantine.attemptEnded(fingerprint, clock.millis());
   }
 
   synchronized int crashed(long fingerprint) {
-    return quarantine.crashed(fingerprint, clock.millis());
+    return quarantine.endpointCrashed(fingerprint, clock.millis());
   }
 
   synchronized void crashObserved(long fingerprint, int crashes) {
-    quarantine.observed(fingerprint, crashes, clock.millis());
+    quarantine.mergeCrashCount(fingerprint, crashes, clock.millis());
   }
 
   /** Returns the expected time between tokens of a pool; 0 until an answer was seen. */
--- a/runtime/src/main/java/org/hornbeamusher/entry/EntryOperations.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/EntryOperations.java
@@ -49,7 +49,7 @@
 
   @Override
   public Optional<PartnerId> owner(ServiceName service) {
-    return services.documents().held(service).map(ServiceDocument::partner);
+    return services.documents().latest(service).map(ServiceDocument::partner);
   }
 
   @Override
@@ -65,16 +65,16 @@
         quarantined.status(services.clock().millis()));
   }
 
-  private List<ProcessStatus.Service> serviceStatus() {
+  private List<ProcessStatus.ServiceStatus> serviceStatus() {
     return services.documents().all().stream()
         .sorted(Comparator.comparing(ServiceDocument::service))
         .map(
             document ->
-                new ProcessStatus.Service(
+                new ProcessStatus.ServiceStatus(
                     document.service(),
                     document.partner(),
                     document.version(),
-                    services.metrics().answeredCount(document.service()),
+                    services.metrics().responseCount(document.service()),
                     services.metrics().refusals(document.service())))
         .toList();
   }
--- a/runtime/src/main/java/org/hornbeamusher/entry/HttpAnswerWriter.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/HttpAnswerWriter.java
@@ -6,7 +6,7 @@
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
-import org.hornbeamusher.claims.StoredAnswer;
+import org.hornbeamusher.claims.StoredResponse;
 import org.hornbeamusher.failure.HornbeamusherException;
 
 /** What the forms of an answer have in common: headers, failures and the sink. */
@@ -67,16 +67,17 @@
   }
 
   @Override
-  public final Optional<StoredAnswer> kept() {
+  public final Optional<StoredResponse> kept() {
     if (keepLength == 0) {
       return Optional.empty();
     }
     String contentType = exchange.getResponseHeaders().getFirst(Headers.CONTENT_TYPE);
-    return Optional.of(new StoredAnswer(exchange.getStatusCode(), contentType, kept.toByteArray()));
+    return Optional.of(
+        new StoredResponse(exchange.getStatusCode(), contentType, kept.toByteArray()));
   }
 
   @Override
-  public final void replay(StoredAnswer answer) {
+  public final void replay(StoredResponse answer) {
     exchange.setStatusCode(answer.status());
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, answer.contentType());
     exchange.getResponseHeaders().put(CallerHeaders.REPLAYED, "true");
--- a/runtime/src/main/java/org/hornbeamusher/entry/ModelName.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/ModelName.java
@@ -28,14 +28,14 @@
 
   /** Returns the adapter; a name without a version stands for the document's current one. */
   static AdapterRef resolve(String model, ServiceDocument document) {
-    if (!(document.kind() instanceof ServiceDocument.Kind.Model kind)) {
+    if (!(document.kind() instanceof ServiceDocument.ServiceKind.Model kind)) {
       throw unknown(model);
     }
     String rest = model.substring(model.indexOf('/') + 1);
     int at = rest.indexOf('@');
     try {
       AdapterName name = new AdapterName(at < 0 ? rest : rest.substring(0, at));
-      ServiceDocument.Adapter adapter = kind.adapters().get(name);
+      ServiceDocument.AdapterDeclaration adapter = kind.adapters().get(name);
       if (adapter == null) {
         throw unknown(model);
       }
--- a/runtime/src/main/java/org/hornbeamusher/entry/QuarantineLog.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/QuarantineLog.java
@@ -31,12 +31,12 @@
   }
 
   /** Returns those that are still refused. */
-  synchronized List<ProcessStatus.Quarantined> status(long now) {
+  synchronized List<ProcessStatus.QuarantinedRequest> status(long now) {
     refused.values().removeIf(entry -> entry.untilMillis() <= now);
     return refused.entrySet().stream()
         .map(
             entry ->
-                new ProcessStatus.Quarantined(
+                new ProcessStatus.QuarantinedRequest(
                     entry.getValue().service(),
                     Long.toHexString(entry.getKey()),
                     entry.getValue().untilMillis()))
--- a/runtime/src/main/java/org/hornbeamusher/entry/RequestRunner.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/RequestRunner.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.hornbeamusher.admission.AdmissionDecision;
 import org.hornbeamusher.admission.AdmissionRequest;
-import org.hornbeamusher.claims.ClaimKeeper;
+import org.hornbeamusher.claims.ClaimStore;
 import org.hornbeamusher.clock.Clock;
 import org.hornbeamusher.dispatch.AgentLink;
 import org.hornbeamusher.dispatch.AttemptCall;
@@ -22,7 +22,7 @@
 import org.hornbeamusher.routing.RouteDecision;
 import org.hornbeamusher.routing.RouteRequest;
 import org.hornbeamusher.suspects.SuspectClaim;
-import org.hornbeamusher.suspects.SuspectRows;
+import org.hornbeamusher.suspects.SuspectStore;
 import org.hornbeamusher.wire.Message;
 
 /**
@@ -42,7 +42,7 @@
     Optional<AgentLink> link(EndpointId endpoint);
 
     /** Hears of a whole answer. */
-    void answered(ServiceName service, AttemptResult.Answered answer);
+    void answered(ServiceName service, AttemptResult.Completed answer);
 
     /** Hears of a request that is refused until a time, in milliseconds, because of crashes. */
     void quarantined(ServiceName service, long fingerprint, long untilMillis);
@@ -58,13 +58,13 @@
   private static final long CRASH_RECORD_MILLIS = 1_000;
 
   private final EntryDecisions decisions;
-  private final SuspectRows suspects;
+  private final SuspectStore suspects;
   private final Host host;
   private final ClaimedRun claimed;
   private final Clock clock;
 
   RequestRunner(
-      EntryDecisions decisions, SuspectRows suspects, Host host, ClaimKeeper claims, Clock clock) {
+      EntryDecisions decisions, SuspectStore suspects, Host host, ClaimStore claims, Clock clock) {
     this.suspects = suspects;
     this.claimed = new ClaimedRun(claims, clock);
     this.decisions = decisions;
@@ -98,7 +98,7 @@
   private AdmissionRequest admit(AdmittedRequest request) {
     switch (decisions.check(request.fingerprint())) {
       case QuarantineDecision.Allow allow -> {}
-      case QuarantineDecision.AllowAlone alone -> {}
+      case QuarantineDecision.AllowIsolated alone -> {}
       case QuarantineDecision.Refuse refuse -> {
         if (refuse.type() == FailureType.QUARANTINED) {
           host.quarantined(
@@ -198,7 +198,7 @@
       case QuarantineDecision.Allow allow -> {
         return false;
       }
-      case QuarantineDecision.AllowAlone alone -> {
+      case QuarantineDecision.AllowIsolated alone -> {
         claimSuspect(request);
         excluded.addAll(decisions.endpointsRunningSuspects());
         return true;
@@ -209,7 +209,7 @@
   }
 
   private void claimSuspect(AdmittedRequest request) {
-    switch (suspects.begin(request.fingerprint(), request.deadlineMillis()).join()) {
+    switch (suspects.claim(request.fingerprint(), request.deadlineMillis()).join()) {
       case SuspectClaim.Granted granted -> {}
       case SuspectClaim.Refused refused -> {
         decisions.crashObserved(request.fingerprint(), refused.crashes());
@@ -232,7 +232,7 @@
 
   private void endIfAlone(AdmittedRequest request, boolean alone) {
     if (alone) {
-      suspects.ended(request.fingerprint());
+      suspects.release(request.fingerprint());
     }
   }
 
@@ -241,7 +241,7 @@
     int known = decisions.crashed(fingerprint);
     int recorded =
         suspects
-            .crashed(fingerprint)
+            .recordCrash(fingerprint)
             .completeOnTimeout(known, CRASH_RECORD_MILLIS, TimeUnit.MILLISECONDS)
             .exceptionally(thrown -> known)
             .join();
@@ -300,7 +300,7 @@
           host.link(endpoint)
               .flatMap(link -> link.open(number -> dispatch(request, number)))
               .orElseThrow(() -> neverSent(endpoint));
-      AttemptResult.Answered answer =
+      AttemptResult.Completed answer =
           new AttemptFollower(request, endpoint, call, writer, clock).follow(decisions);
       host.answered(request.document().service(), answer);
       result = answer;
@@ -341,7 +341,7 @@
         document.weights().batchEfficiency(),
         document.limits().share(),
         document.callerWeights().getOrDefault(request.caller(), 1),
-        document.limits().queue(),
+        document.limits().maxQueueLength(),
         request.onceKey().map(Object::toString).orElse(""),
         AttemptCall.INITIAL_CREDIT);
   }
--- a/runtime/src/main/java/org/hornbeamusher/events/Logging.java
+++ b/runtime/src/main/java/org/hornbeamusher/events/LogSetup.java
@@ -8,14 +8,14 @@
 import java.util.logging.Logger;
 
 /** Sets up the process's log: lines of JSON on standard error, nothing else. */
-public final class Logging {
+public final class LogSetup {
 
   /** Held so that the levels set here are not lost when a logger is garbage-collected. */
   private static final Logger LIBRARIES = Logger.getLogger("");
 
   private static final Logger EVENTS = Logger.getLogger(EventLog.class.getName());
 
-  private Logging() {}
+  private LogSetup() {}
 
   /**
    * Replaces every handler by one that writes lines of JSON to standard output without ever
--- a/runtime/src/main/java/org/hornbeamusher/events/KeepingLogManager.java
+++ b/runtime/src/main/java/org/hornbeamusher/events/NonResettingLogManager.java
@@ -9,10 +9,10 @@
  * that stops a daemon: what a daemon logs while it drains would be lost, and an operator could not
  * tell a clean end from a cut one.
  */
-public final class KeepingLogManager extends LogManager {
+public final class NonResettingLogManager extends LogManager {
 
   /** Creates the manager; called by the JDK. */
-  public KeepingLogManager() {}
+  public NonResettingLogManager() {}
 
   /** Does nothing; handlers stay until the process ends. */
   @Override
--- a/runtime/src/main/java/org/hornbeamusher/exchange/DocumentExchange.java
+++ b/runtime/src/main/java/org/hornbeamusher/exchange/DocumentExchange.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import org.hornbeamusher.documents.DocumentCodec;
-import org.hornbeamusher.documents.DocumentHolder;
 import org.hornbeamusher.documents.DocumentSync;
 import org.hornbeamusher.documents.DocumentUpdate;
+import org.hornbeamusher.documents.LatestDocuments;
 import org.hornbeamusher.ids.ServiceName;
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireConnection;
@@ -18,7 +18,7 @@
  */
 public final class DocumentExchange {
 
-  private final DocumentHolder documents;
+  private final LatestDocuments documents;
   private final DocumentSync sync;
   private final Map<WireConnection, WireDocumentPeer> peers = new ConcurrentHashMap<>();
 
@@ -28,7 +28,7 @@
    * @param documents what this process holds
    * @param sync decides what to ask for
    */
-  public DocumentExchange(DocumentHolder documents, DocumentSync sync) {
+  public DocumentExchange(LatestDocuments documents, DocumentSync sync) {
     this.documents = documents;
     this.sync = sync;
   }
@@ -65,7 +65,7 @@
    * @param digest the hash it carried
    */
   public void heartbeat(WireConnection connection, long digest) {
-    sync.heard(peer(connection), digest);
+    sync.digestHashReceived(peer(connection), digest);
   }
 
   /**
@@ -95,7 +95,7 @@
   public void closed(WireConnection connection) {
     WireDocumentPeer peer = peers.remove(connection);
     if (peer != null) {
-      sync.forget(peer);
+      sync.removePeer(peer);
       peer.closed();
     }
   }
@@ -110,7 +110,8 @@
       documents.digest().forEach((service, version) -> versions.put(service.value(), version));
       return new Message.DocumentDigest(versions);
     }
-    DocumentUpdate update = documents.updateSince(new ServiceName(pull.service()), pull.have());
+    DocumentUpdate update =
+        documents.updateSince(new ServiceName(pull.service()), pull.haveVersion());
     return new Message.DocumentPush(pull.service(), DocumentCodec.encodeUpdate(update));
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/exchange/WireDocumentPeer.java
+++ b/runtime/src/main/java/org/hornbeamusher/exchange/WireDocumentPeer.java
@@ -48,7 +48,7 @@
 
   @Override
   public boolean receiving() {
-    return connection.receiving();
+    return connection.receivingLargeMessage();
   }
 
   /** A large document may take longer to arrive; it is waited for as long as it does. */
@@ -56,7 +56,7 @@
     CompletableFuture.delayedExecutor(ANSWER_MILLIS, TimeUnit.MILLISECONDS)
         .execute(
             () -> {
-              if (!future.isDone() && connection.receiving()) {
+              if (!future.isDone() && connection.receivingLargeMessage()) {
                 awaited(future);
               } else {
                 future.completeExceptionally(new TimeoutException());
--- a/runtime/src/main/java/org/hornbeamusher/lease/FencingLease.java
+++ b/runtime/src/main/java/org/hornbeamusher/fencing/FencingNumberAllocator.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.lease;
+package org.hornbeamusher.fencing;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -34,7 +34,7 @@
  * lease with a term, which adds a renewal for each of 1,400 agents to the table's few hundred
  * writes a second and protects no better.
  */
-public final class FencingLease {
+public final class FencingNumberAllocator {
 
   private static final String TABLE = "fencing";
 
@@ -54,7 +54,7 @@
    * @param endpoint the endpoint whose orders are numbered
    * @param holder tells this process from every other
    */
-  public FencingLease(Table table, EndpointId endpoint, String holder) {
+  public FencingNumberAllocator(Table table, EndpointId endpoint, String holder) {
     this.table = table;
     this.key = new RowKey(TABLE, endpoint.value());
     this.holder = holder;
@@ -76,7 +76,7 @@
 
   private CompletableFuture<FencingNumber> take(
       Optional<Row> found, long seenByEngine, int number) {
-    long highest = found.map(FencingLease::numberOf).orElse(0L);
+    long highest = found.map(FencingNumberAllocator::numberOf).orElse(0L);
     if (found.filter(this::isOwn).isPresent() && highest > seenByEngine) {
       // The write of an earlier round took effect although its answer was lost.
       return CompletableFuture.completedFuture(new FencingNumber(highest));
--- a/runtime/src/main/java/org/hornbeamusher/lease/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/fencing/package-info.java
@@ -1,2 +1,2 @@
 /** The row from which the successive agents of one endpoint take rising fencing numbers. */
-package org.hornbeamusher.lease;
+package org.hornbeamusher.fencing;
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/AccountCheck.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/AccountCheck.java
@@ -37,8 +37,8 @@
    * @throws HornbeamusherException if the request is refused
    */
   Optional<ClientAccount> identify(
-      Configuration configuration, Route route, RequestFacts metadata) {
-    if (!configuration.accounts().required() || route.anonymous()) {
+      Configuration configuration, Route route, RequestMetadata metadata) {
+    if (!configuration.accounts().keyRequired() || route.anonymous()) {
       return Optional.empty();
     }
     if (!confirmed()) {
@@ -50,7 +50,7 @@
     if (metadata.keys().isEmpty()) {
       throw denied(FailureType.KEY_MISSING);
     }
-    Optional<ClientAccount> holder = configuration.accounts().holder(metadata.keys().get(0));
+    Optional<ClientAccount> holder = configuration.accounts().findByKey(metadata.keys().get(0));
     if (holder.isEmpty()) {
       throw denied(FailureType.KEY_UNKNOWN);
     }
@@ -73,7 +73,7 @@
     boolean held =
         configuration
             .accounts()
-            .holder(request.metadata().keys().get(0))
+            .findByKey(request.metadata().keys().get(0))
             .map(ClientAccount::name)
             .equals(request.accountName());
     return held
@@ -85,12 +85,12 @@
    * Returns whether the configuration was confirmed recently enough to serve requests with keys.
    */
   boolean confirmed() {
-    return freshness.ageMillis() < bounds.servedMillis();
+    return freshness.ageMillis() < bounds.maxProofAgeMillis();
   }
 
   /** Returns whether {@link #confirmed} becomes false soon unless the table service is reached. */
   boolean expiring() {
-    return freshness.ageMillis() >= bounds.leaveMillis();
+    return freshness.ageMillis() >= bounds.unreadyAgeMillis();
   }
 
   long proofAgeMillis() {
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/AgentConnections.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/AgentConnections.java
@@ -11,19 +11,19 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.hornbeamusher.clock.Clock;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.directory.Endpoint;
-import org.hornbeamusher.directory.HeldAdapter;
 import org.hornbeamusher.events.EventLog;
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.holdings.LoadCosts;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 import org.hornbeamusher.loop.EventLoop;
-import org.hornbeamusher.membership.PeerCount;
+import org.hornbeamusher.membership.RecentMaximumPeerCount;
 import org.hornbeamusher.placement.EndpointView;
 import org.hornbeamusher.quota.QuotaSettings;
-import org.hornbeamusher.routing.Rendezvous;
+import org.hornbeamusher.routing.RendezvousHash;
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireConnection;
 import org.hornbeamusher.wire.WireListener;
@@ -49,7 +49,7 @@
   private static final long PEER_COUNT_WINDOW_MILLIS = 30_000;
 
   private final Map<InetSocketAddress, AgentConnection> connections = new HashMap<>();
-  private final PeerCount peers = new PeerCount(PEER_COUNT_WINDOW_MILLIS);
+  private final RecentMaximumPeerCount peers = new RecentMaximumPeerCount(PEER_COUNT_WINDOW_MILLIS);
   private final Map<EndpointId, EndpointView> views;
   private final Message.Hello own;
   private final WireTransport transport;
@@ -93,8 +93,8 @@
    * connected, otherwise one chosen by rendezvous hashing, so that all entries that are connected
    * to the same agents choose the same one.
    */
-  Optional<InetSocketAddress> pacer(EndpointLife endpoint) {
-    long key = Rendezvous.hash(endpoint.id().value());
+  Optional<InetSocketAddress> pacer(EndpointIncarnation endpoint) {
+    long key = RendezvousHash.hash(endpoint.id().value());
     return connections.values().stream()
         .filter(link -> link.connection != null)
         .max(
@@ -143,7 +143,7 @@
   /** Applies reports that an agent sent before its endpoint was listed. */
   void endpointListed(Endpoint endpoint) {
     for (AgentConnection link : connections.values()) {
-      if (link.incarnation.filter(endpoint.life()::sameAs).isPresent()) {
+      if (link.incarnation.filter(endpoint.incarnation()::maybeSameAs).isPresent()) {
         link.apply();
       }
     }
@@ -156,7 +156,7 @@
    * @return empty until the first report
    */
   OptionalInt knownEntries() {
-    return peers.most();
+    return peers.maximum();
   }
 
   /** Returns the number of entries; an assumed one until the first report of an agent. */
@@ -169,7 +169,7 @@
    * incarnation.
    */
   EngineReservation reserve(
-      EndpointLife endpoint,
+      EndpointIncarnation endpoint,
       EngineReservation.Request request,
       EngineReservation.Listener listener) {
     for (AgentConnection link : connections.values()) {
@@ -191,10 +191,10 @@
     IncarnationListener NONE =
         new IncarnationListener() {
           @Override
-          public void incarnationSeen(EndpointLife life, String address) {}
+          public void incarnationSeen(EndpointIncarnation life, String address) {}
 
           @Override
-          public void incarnationLost(EndpointLife life) {}
+          public void incarnationLost(EndpointIncarnation life) {}
 
           @Override
           public void agentLost(EndpointId id) {}
@@ -204,10 +204,10 @@
      * An agent sees this incarnation of the engine at an address. Every other incarnation of that
      * engine has ended, whatever its id.
      */
-    void incarnationSeen(EndpointLife incarnation, String address);
+    void incarnationSeen(EndpointIncarnation incarnation, String address);
 
     /** An agent that saw this incarnation now sees another endpoint, or none. */
-    void incarnationLost(EndpointLife incarnation);
+    void incarnationLost(EndpointIncarnation incarnation);
 
     /** The agent of this endpoint is no longer connected. */
     void agentLost(EndpointId id);
@@ -246,14 +246,14 @@
     PermitListener NONE =
         new PermitListener() {
           @Override
-          public void received(Message.RatePermitReply reply) {}
+          public void received(Message.RatePermitResponse reply) {}
 
           @Override
           public void closed(InetSocketAddress agent) {}
         };
 
     /** An agent has granted or refused a permit. */
-    void received(Message.RatePermitReply reply);
+    void received(Message.RatePermitResponse reply);
 
     /** The connection to an agent was lost. */
     void closed(InetSocketAddress agent);
@@ -269,7 +269,7 @@
     private Message.Holdings holdings;
 
     /** The incarnation of its engine that the agent sees; empty while it sees none. */
-    private Optional<EndpointLife> incarnation = Optional.empty();
+    private Optional<EndpointIncarnation> incarnation = Optional.empty();
 
     /** The load costs measured by the agent; they persist across incarnations of the engine. */
     private Optional<LoadCosts> costs = Optional.empty();
@@ -289,17 +289,20 @@
     }
 
     long weight(long key) {
-      return Rendezvous.weight(key, Rendezvous.hash(address.toString()));
+      return RendezvousHash.weight(key, RendezvousHash.hash(address.toString()));
     }
 
-    boolean serves(EndpointLife endpoint) {
-      return connection != null && incarnation.isPresent() && endpoint.sameAs(incarnation.get());
+    boolean serves(EndpointIncarnation endpoint) {
+      return connection != null
+          && incarnation.isPresent()
+          && endpoint.maybeSameAs(incarnation.get());
     }
 
-    private static Optional<EndpointLife> incarnationOf(Message.Holdings report) {
+    private static Optional<EndpointIncarnation> incarnationOf(Message.Holdings report) {
       return report.endpoint().isEmpty()
           ? Optional.empty()
-          : Optional.of(new EndpointLife(new EndpointId(report.endpoint()), report.startMillis()));
+          : Optional.of(
+              new EndpointIncarnation(new EndpointId(report.endpoint()), report.startMillis()));
     }
 
     void send(Message message) {
@@ -337,8 +340,8 @@
     private void handle(Message message) {
       switch (message) {
         case Message.Holdings report -> {
-          peers.counted(report.entries(), clock.millis());
-          Optional<EndpointLife> before = incarnation;
+          peers.record(report.entryCount(), clock.millis());
+          Optional<EndpointIncarnation> before = incarnation;
           holdings = report;
           incarnation = incarnationOf(report);
           notifyIncarnations(before);
@@ -347,22 +350,22 @@
         case Message.PeerLoad report -> {
           EndpointView view = view();
           if (view != null) {
-            view.reportedLoad(report.requests(), report.unreadTokens(), report.sparePlaces());
+            view.reportedLoad(report.requests(), report.pendingPromptTokens(), report.spareSlots());
           }
         }
         case Message.EngineCosts report -> {
           costs =
               Optional.of(
                   new LoadCosts(
-                      report.storeMillis(),
-                      report.copyMillis(),
-                      report.placeMillis(),
-                      report.copies()));
+                      report.storeLoadMillis(),
+                      report.cachedLoadMillis(),
+                      report.slotWaitMillis(),
+                      report.cachedAdapters()));
           applyCosts();
         }
         case Message.UsageUpdate update -> usageListener.received(address, update);
-        case Message.RatePermitReply reply -> permitListener.received(reply);
-        case Message.Granted report -> {
+        case Message.RatePermitResponse reply -> permitListener.received(reply);
+        case Message.ReservationGranted report -> {
           EngineReservation granted = activeReservations.get(report.reservation());
           if (granted != null) {
             granted.granted();
@@ -375,7 +378,7 @@
     }
 
     /** Notifies the listener of the engine's current incarnation, or of its end. */
-    private void notifyIncarnations(Optional<EndpointLife> before) {
+    private void notifyIncarnations(Optional<EndpointIncarnation> before) {
       incarnation.ifPresent(now -> incarnationListener.incarnationSeen(now, engineAddress));
       before
           .filter(one -> incarnation.filter(next -> next.id().equals(one.id())).isEmpty())
@@ -393,7 +396,8 @@
       applyCosts();
       EndpointView view = view();
       if (view != null) {
-        view.reported(parse(holdings.held()), parse(holdings.coming()), holdings.leaving());
+        view.updateFromAgent(
+            parse(holdings.resident()), parse(holdings.loading()), holdings.leaving());
       }
     }
 
@@ -401,7 +405,7 @@
     private EndpointView view() {
       return incarnation
           .map(now -> views.get(now.id()))
-          .filter(view -> view.life().sameAs(incarnation.get()))
+          .filter(view -> view.incarnation().maybeSameAs(incarnation.get()))
           .orElse(null);
     }
 
@@ -423,8 +427,8 @@
       List.copyOf(activeReservations.values()).forEach(EngineReservation::lost);
     }
 
-    private static Set<HeldAdapter> parse(List<String> texts) {
-      return texts.stream().map(HeldAdapter::parse).collect(Collectors.toSet());
+    private static Set<AdapterVersion> parse(List<String> texts) {
+      return texts.stream().map(AdapterVersion::parse).collect(Collectors.toSet());
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/Attempt.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/Attempt.java
@@ -3,9 +3,9 @@
 import org.hornbeamusher.clock.Clock;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
 import org.hornbeamusher.http.HttpHead;
+import org.hornbeamusher.http.HttpRequest;
 import org.hornbeamusher.http.HttpStream;
 import org.hornbeamusher.http.HttpStreamListener;
 import org.hornbeamusher.placement.EndpointView;
@@ -20,7 +20,7 @@
   private static final long CONNECT_MILLIS = 400;
 
   private final EndpointView endpoint;
-  private final Dialect dialect;
+  private final HeaderCodec dialect;
   private final EndpointStateUpdater statements;
   private final Clock clock;
   private final String requestId;
@@ -32,7 +32,7 @@
   /** The status of the response; 0 before it arrives. */
   private int status;
 
-  private AnswerFacts metadata = AnswerFacts.NONE;
+  private ResponseMetadata metadata = ResponseMetadata.NONE;
   private boolean ended;
 
   Attempt(EndpointView endpoint, ForwardContext context, String requestId, Listener listener) {
@@ -44,7 +44,7 @@
     this.listener = listener;
   }
 
-  void send(HttpClient http, HttpCall call, int maxConnections) {
+  void send(HttpClient http, HttpRequest call, int maxConnections) {
     sentMillis = clock.millis();
     stream = http.stream(call, this, CONNECT_MILLIS, maxConnections);
     if (ended) {
@@ -62,7 +62,7 @@
   }
 
   /** Returns the metadata of the response; empty before it arrives. */
-  AnswerFacts metadata() {
+  ResponseMetadata metadata() {
     return metadata;
   }
 
@@ -75,7 +75,7 @@
   }
 
   @Override
-  public boolean sending() {
+  public boolean shouldSend() {
     return endpoint.takesRequests(clock.millis());
   }
 
@@ -85,16 +85,17 @@
       return;
     }
     status = head.status();
-    AnswerFacts received = dialect.answer(head);
+    ResponseMetadata received = dialect.parseResponse(head);
     if (received.requestId().isPresent() && !received.requestId().get().equals(requestId)) {
       breakOff(FailureType.FOREIGN_ANSWER);
       return;
     }
     metadata = received;
-    statements.recordResponse(endpoint, metadata, head.success() && metadata.signed(), sentMillis);
+    statements.recordResponse(
+        endpoint, metadata, head.isSuccess() && metadata.sealPresent(), sentMillis);
     if (metadata.notRun()) {
       refused = head;
-    } else if (head.success() && !metadata.signed()) {
+    } else if (head.isSuccess() && !metadata.sealPresent()) {
       breakOff(FailureType.UNSIGNED_ANSWER);
     } else if (CallerResponse.guaranteesNotRun(head.status())) {
       // To the caller this status means that the request did not run, which the endpoint did not
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/SendFacts.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/AttemptMetadata.java
@@ -14,7 +14,7 @@
  * @param account the client account; empty for an anonymous caller
  * @param lastEvent the last event that the caller received; the endpoint resumes after it
  */
-public record SendFacts(
+public record AttemptMetadata(
     EndpointId endpoint,
     long remainingMillis,
     int rank,
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointLog.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointLog.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import java.util.stream.Collectors;
 import org.hornbeamusher.directory.Endpoint;
-import org.hornbeamusher.directory.EndpointDirectory.Absence;
+import org.hornbeamusher.directory.EndpointDirectory.MissingEndpoints;
 import org.hornbeamusher.directory.UnusableEntry;
 import org.hornbeamusher.events.EventLog;
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 
 /** Logs events of the endpoints that an entry knows. */
 final class EndpointLog {
@@ -25,7 +25,7 @@
         "endpoint",
         endpoint.id(),
         "start_ms",
-        endpoint.life().startMillis(),
+        endpoint.incarnation().startMillis(),
         "service",
         endpoint.service(),
         "at",
@@ -37,7 +37,7 @@
   }
 
   /** Logs that an incarnation of an endpoint has ended. */
-  static void ended(EndpointLife incarnation, String cause, long listAgeMillis) {
+  static void ended(EndpointIncarnation incarnation, String cause, long listAgeMillis) {
     EventLog.log(
         EventType.ENDPOINT_GONE,
         "endpoint",
@@ -51,7 +51,7 @@
   }
 
   /** Logs that endpoints are missing from a list but kept for now. */
-  static void missing(Absence absence) {
+  static void missing(MissingEndpoints absence) {
     List<EndpointId> endpoints = absence.endpoints();
     if (endpoints.isEmpty()) {
       return;
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointRateLimiter.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointRateLimiter.java
@@ -12,9 +12,9 @@
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.loop.EventLoop;
 import org.hornbeamusher.placement.EndpointView;
+import org.hornbeamusher.ratelimit.AdvertisedRateLimit;
 import org.hornbeamusher.ratelimit.EvenShareLimiter;
-import org.hornbeamusher.ratelimit.PermitDecision;
-import org.hornbeamusher.ratelimit.StatedLimit;
+import org.hornbeamusher.ratelimit.RatePermitDecision;
 import org.hornbeamusher.wire.Message;
 
 /**
@@ -66,9 +66,9 @@
    * @param sentMillis when the request was sent
    */
   void recordResponse(
-      EndpointView endpoint, StatedLimit advertised, boolean succeeded, long sentMillis) {
+      EndpointView endpoint, AdvertisedRateLimit advertised, boolean succeeded, long sentMillis) {
     OptionalDouble before = endpoint.limit().requestsPerSecond();
-    if (!endpoint.limit().answered(advertised, succeeded, sentMillis, clock.millis())) {
+    if (!endpoint.limit().recordResponse(advertised, succeeded, sentMillis, clock.millis())) {
       return;
     }
     OptionalDouble now = endpoint.limit().requestsPerSecond();
@@ -76,7 +76,7 @@
     if (now.isEmpty()) {
       long sentAgo = clock.millis() - sentMillis;
       agents
-          .pacer(endpoint.life())
+          .pacer(endpoint.incarnation())
           .ifPresent(
               agent ->
                   agents.send(agent, new Message.RateLimitLifted(endpoint.id().value(), sentAgo)));
@@ -100,7 +100,7 @@
     double limit = endpoint.limit().requestsPerSecond().orElseThrow();
     PendingRatePermit permit = new PendingRatePermit(endpoint, requestId, maxWaitMillis, listener);
     agents
-        .pacer(endpoint.life())
+        .pacer(endpoint.incarnation())
         .ifPresentOrElse(
             agent -> requestFromAgent(permit, agent, limit),
             () -> loop.execute(() -> decideLocally(permit)));
@@ -124,19 +124,19 @@
             number,
             permit.endpoint().id().value(),
             limit,
-            clock.millis() - permit.endpoint().limit().statedMillis(),
+            clock.millis() - permit.endpoint().limit().advertisedMillis(),
             permit.maxWaitMillis()));
   }
 
   @Override
-  public void received(Message.RatePermitReply reply) {
-    PendingRatePermit permit = pending.remove(reply.number());
+  public void received(Message.RatePermitResponse reply) {
+    PendingRatePermit permit = pending.remove(reply.requestNumber());
     if (permit != null) {
       decided(
           permit,
           reply.granted()
-              ? new PermitDecision.Granted(reply.waitMillis())
-              : new PermitDecision.Refused(reply.waitMillis()),
+              ? new RatePermitDecision.Granted(reply.waitMillis())
+              : new RatePermitDecision.Refused(reply.waitMillis()),
           "agent");
     }
   }
@@ -169,18 +169,18 @@
         "even-share");
   }
 
-  private void decided(PendingRatePermit permit, PermitDecision decision, String by) {
+  private void decided(PendingRatePermit permit, RatePermitDecision decision, String by) {
     if (permit.over()) {
       return;
     }
-    boolean granted = decision instanceof PermitDecision.Granted;
+    boolean granted = decision instanceof RatePermitDecision.Granted;
     metrics.permitDecided(granted);
     switch (decision) {
-      case PermitDecision.Granted grant -> {
+      case RatePermitDecision.Granted grant -> {
         log(permit, granted, grant.waitMillis(), by);
         granted(permit, grant.waitMillis());
       }
-      case PermitDecision.Refused refusal -> {
+      case RatePermitDecision.Refused refusal -> {
         log(permit, granted, refusal.waitMillis(), by);
         permit.endpoint().limit().defer(refusal.waitMillis(), clock.millis());
         permit.refuse();
@@ -238,7 +238,7 @@
         "endpoint",
         endpoint.id(),
         "start_ms",
-        endpoint.life().startMillis(),
+        endpoint.incarnation().startMillis(),
         "limit_per_s",
         text(now),
         "before_per_s",
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointStateUpdater.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointStateUpdater.java
@@ -34,20 +34,20 @@
    * @param sentMillis when the request was sent
    */
   void recordResponse(
-      EndpointView endpoint, AnswerFacts metadata, boolean succeeded, long sentMillis) {
+      EndpointView endpoint, ResponseMetadata metadata, boolean succeeded, long sentMillis) {
     if (metadata.endpoint().filter(other -> !other.equals(endpoint.id())).isPresent()) {
       // Another endpoint uses this address now; its state is not that of the expected endpoint.
       return;
     }
-    limits.recordResponse(endpoint, metadata.limit(), succeeded, sentMillis);
+    limits.recordResponse(endpoint, metadata.rateLimit(), succeeded, sentMillis);
     EndpointAvailability availability = endpoint.availability();
     long now = clock.millis();
-    if (availability.answered(metadata.retryAfter(), now)) {
+    if (availability.recordRetryAfter(metadata.retryAfter(), now)) {
       AvailabilityLog.backoff(
-          endpoint.id(), endpoint.life().startMillis(), availability.backoffMillis(now));
+          endpoint.id(), endpoint.incarnation().startMillis(), availability.backoffMillis(now));
     }
-    if (metadata.leaving() && availability.statedLeaving()) {
-      AvailabilityLog.leaving(endpoint.id(), endpoint.life().startMillis());
+    if (metadata.leaving() && availability.recordLeaving()) {
+      AvailabilityLog.leaving(endpoint.id(), endpoint.incarnation().startMillis());
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/EngineReservation.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EngineReservation.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.forwarding;
 
 import org.hornbeamusher.clock.Clock;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.wire.Message;
 
 /** A request's reservation for its adapter at an engine, held by the engine's agent. */
@@ -75,7 +75,7 @@
   void promptProcessed() {
     if (link != null && !promptProcessed) {
       promptProcessed = true;
-      link.send(new Message.PromptRead(number));
+      link.send(new Message.PromptProcessed(number));
     }
   }
 
@@ -83,14 +83,14 @@
     if (link != null) {
       waiting = false;
       link.forget(number);
-      link.send(new Message.Release(number));
+      link.send(new Message.ReservationRelease(number));
     }
   }
 
   /** The parameters of a reservation. */
   record Request(
       String requestId,
-      HeldAdapter adapter,
+      AdapterVersion adapter,
       int rank,
       long unreadTokens,
       long expiresMillis,
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/EventStreamRelay.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EventStreamRelay.java
@@ -55,7 +55,7 @@
       status = head.status();
       type = contentType(head);
       headers = toCaller;
-      if (!head.success()) {
+      if (!head.isSuccess()) {
         failure = new BufferedRelay(caller);
         return failure.head(head, toCaller);
       }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardContext.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardContext.java
@@ -5,9 +5,9 @@
 import org.hornbeamusher.http.HttpClient;
 import org.hornbeamusher.loop.EventLoop;
 import org.hornbeamusher.placement.Placer;
-import org.hornbeamusher.routes.ConfigurationInForce;
+import org.hornbeamusher.routes.CurrentConfiguration;
+import org.hornbeamusher.routes.LatestAdapterVersions;
 import org.hornbeamusher.routes.ServiceSpec;
-import org.hornbeamusher.routes.VersionsInForce;
 
 /**
  * The objects shared by all requests of an entry. Confined to the event loop.
@@ -28,16 +28,16 @@
  * @param clock monotonic
  */
 record ForwardContext(
-    ConfigurationInForce configuration,
+    CurrentConfiguration configuration,
     RequestAdmission admission,
-    VersionsInForce versions,
+    LatestAdapterVersions versions,
     EndpointDirectory directory,
     Placer placer,
     AgentConnections agents,
     EndpointRateLimiter rateLimiter,
     EndpointStateUpdater stateUpdater,
     RetryAllowance retryAllowance,
-    Dialect headerCodec,
+    HeaderCodec headerCodec,
     HttpClient http,
     ForwardMetrics metrics,
     EventLoop loop,
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardDaemon.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardDaemon.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ThreadLocalRandom;
-import org.hornbeamusher.availability.AvailabilityRegister;
+import org.hornbeamusher.availability.AvailabilityRegistry;
 import org.hornbeamusher.clock.Clock;
 import org.hornbeamusher.directory.Endpoint;
 import org.hornbeamusher.directory.EndpointDirectory;
@@ -20,7 +20,7 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.http.HttpClient;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 import org.hornbeamusher.loop.EventLoop;
 import org.hornbeamusher.placement.EndpointView;
 import org.hornbeamusher.placement.PlacementSettings;
@@ -31,11 +31,11 @@
 import org.hornbeamusher.routes.AdapterKey;
 import org.hornbeamusher.routes.Configuration;
 import org.hornbeamusher.routes.ConfigurationFreshness;
-import org.hornbeamusher.routes.ConfigurationInForce;
+import org.hornbeamusher.routes.CurrentConfiguration;
 import org.hornbeamusher.routes.EngineSpec;
+import org.hornbeamusher.routes.LatestAdapterVersions;
 import org.hornbeamusher.routes.ServiceSpec;
-import org.hornbeamusher.routes.VersionsInForce;
-import org.hornbeamusher.transfer.Transfer;
+import org.hornbeamusher.transfer.TransferStats;
 import org.hornbeamusher.wire.LoopTransport;
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireSettings;
@@ -44,8 +44,8 @@
  * The entry on a platform that stores the configuration and the list of endpoints: accepts callers'
  * requests and forwards each to an endpoint.
  *
- * <p>Its state comes from {@link #configured}, {@link #versioned} and {@link #listed}, from the
- * agents of the engines and from its own requests. It persists nothing.
+ * <p>Its state comes from {@link #onConfiguration}, {@link #onAdapterVersion} and {@link
+ * #onEndpointList}, from the agents of the engines and from its own requests. It persists nothing.
  */
 public final class ForwardDaemon implements ForwardedRequest.Listener {
 
@@ -63,7 +63,7 @@
   private final Clock clock;
   private final EventLoop loop;
   private final ForwardContext context;
-  private final AvailabilityRegister availability = new AvailabilityRegister();
+  private final AvailabilityRegistry availability = new AvailabilityRegistry();
   private final ConfigurationFreshness freshness;
   private final AccountCheck accounts;
   private final QuotaMeter<InetSocketAddress> meter;
@@ -93,7 +93,7 @@
    * @param elapsed monotonic, including time for which the instance was suspended
    */
   public ForwardDaemon(
-      ForwardSettings settings, Dialect dialect, HttpClient http, Clock clock, Clock elapsed) {
+      ForwardSettings settings, HeaderCodec dialect, HttpClient http, Clock clock, Clock elapsed) {
     this.settings = settings;
     this.clock = clock;
     this.loop = http.loop();
@@ -113,8 +113,8 @@
     ForwardMetrics counts = new ForwardMetrics(registry);
     EndpointRateLimiter limits = new EndpointRateLimiter(agents, counts, loop, clock);
     agents.setPermitListener(limits);
-    ConfigurationInForce configuration = new ConfigurationInForce();
-    VersionsInForce versions = new VersionsInForce();
+    CurrentConfiguration configuration = new CurrentConfiguration();
+    LatestAdapterVersions versions = new LatestAdapterVersions();
     this.context =
         new ForwardContext(
             configuration,
@@ -125,14 +125,15 @@
             agents,
             limits,
             new EndpointStateUpdater(limits, clock),
-            new RetryAllowance(settings.repeats()),
+            new RetryAllowance(settings.retries()),
             dialect,
             http,
             counts,
             loop,
             clock);
     context.agents().setIncarnationListener(new IncarnationUpdates());
-    this.metrics = settings.metrics().map(at -> new MetricsListener(at, http.worker(), registry));
+    this.metrics =
+        settings.metricsAddress().map(at -> new MetricsListener(at, http.worker(), registry));
     this.server =
         new ForwardServer(
             settings,
@@ -159,7 +160,7 @@
   /** Starts the listeners. */
   public void start() {
     server.start();
-    metrics.ifPresent(listener -> listener.startLater(loop));
+    metrics.ifPresent(listener -> listener.startDelayed(loop));
     ForwardMetrics measured = context.metrics();
     measured.gauge("running", runs::size);
     measured.gauge("endpoints", context.placer().views()::size);
@@ -171,8 +172,8 @@
     measured.gauge("list_age_ms", () -> context.directory().ageMillis(clock.millis()));
     measured.gauge("key_proof_age_ms", accounts::proofAgeMillis);
     measured.gauge("configuration_age_ms", freshness::ageMillis);
-    measured.gauge("quota_entries", () -> meter.entries());
-    measured.gauge("quota_reachable_entries", () -> meter.reachable(clock.millis()));
+    measured.gauge("quota_entries", () -> meter.entryCount());
+    measured.gauge("quota_reachable_entries", () -> meter.reachableEntryCount(clock.millis()));
     measured.gauge(
         "configuration",
         () -> context.configuration().current().map(Configuration::version).orElse(0L));
@@ -185,7 +186,7 @@
         "zone",
         settings.zone(),
         "callers",
-        settings.callers());
+        settings.callerAddress());
   }
 
   /**
@@ -194,7 +195,7 @@
    * @param configuration any version; ignored if older than the current one
    * @param transfer size and duration of the transfer
    */
-  public void configured(Configuration configuration, Transfer transfer) {
+  public void onConfiguration(Configuration configuration, TransferStats transfer) {
     freshness.read();
     if (context.configuration().offer(configuration)) {
       EventLog.log(
@@ -207,9 +208,9 @@
           transfer.bytes(),
           "read_ms",
           transfer.millis());
-      meter.configured(configuration.accounts().accounts(), clock.millis());
+      meter.updateAccounts(configuration.accounts().accounts(), clock.millis());
       usage.start();
-      apply(context.directory().configured(configuration.services().keySet()));
+      apply(context.directory().servicesChanged(configuration.services().keySet()));
       connectAgents();
       openWhenReady();
     }
@@ -221,8 +222,8 @@
   }
 
   /**
-   * Records that no configuration newer than those passed to {@link #configured} existed when a
-   * request was sent.
+   * Records that no configuration newer than those passed to {@link #onConfiguration} existed when
+   * a request was sent.
    *
    * @param askedMillis when the request was sent, by the clock that includes suspended time
    */
@@ -242,7 +243,7 @@
    * @param adapter the adapter
    * @param version any version; ignored if older than the current one
    */
-  public void versioned(AdapterKey adapter, long version) {
+  public void onAdapterVersion(AdapterKey adapter, long version) {
     if (context.versions().offer(adapter, version)) {
       EventLog.log(EventType.VERSION_IN_FORCE, "adapter", adapter, "version", version);
     }
@@ -254,11 +255,11 @@
    * @param entries all entries of the list
    * @param askedMillis when the list was requested, by the monotonic clock
    */
-  public void listed(List<? extends ListedEntry> entries, long askedMillis) {
+  public void onEndpointList(List<? extends ListedEntry> entries, long askedMillis) {
     EndpointDirectory.Change change =
-        context.directory().listed(entries, askedMillis, clock.millis());
+        context.directory().listReceived(entries, askedMillis, clock.millis());
     apply(change);
-    long keptMillis = change.absence().keptMillis();
+    long keptMillis = change.missing().keptMillis();
     if (keptMillis > 0) {
       loop.after(Math.max(0, keptMillis - LIST_REFRESH_LEAD_MILLIS), listRefresh);
       loop.after(keptMillis, this::expireMissing);
@@ -271,7 +272,7 @@
    *
    * @param refresh requests a list at once
    */
-  public void listRefresh(Runnable refresh) {
+  public void setListRefresh(Runnable refresh) {
     listRefresh = refresh;
   }
 
@@ -280,8 +281,8 @@
    *
    * @param askedMillis when it was sent, by the monotonic clock
    */
-  public void listUnanswered(long askedMillis) {
-    context.directory().unanswered(askedMillis);
+  public void onListRequestFailed(long askedMillis) {
+    context.directory().listReadFailed(askedMillis);
   }
 
   private void expireMissing() {
@@ -296,19 +297,20 @@
 
   private void apply(EndpointDirectory.Change change) {
     change.changed().forEach(this::changed);
-    for (Endpoint gone : change.gone()) {
+    for (Endpoint gone : change.removed()) {
       Optional.ofNullable(context.placer().views().remove(gone.id()))
-          .ifPresent(EndpointView::removed);
-      if (!change.ended().contains(gone.life())) {
-        EndpointLog.ended(gone.life(), "not-listed", context.directory().ageMillis(clock.millis()));
+          .ifPresent(EndpointView::markRemoved);
+      if (!change.ended().contains(gone.incarnation())) {
+        EndpointLog.ended(
+            gone.incarnation(), "not-listed", context.directory().ageMillis(clock.millis()));
       }
     }
-    if (!change.gone().isEmpty() || !change.changed().isEmpty()) {
+    if (!change.removed().isEmpty() || !change.changed().isEmpty()) {
       connectAgents();
     }
     change.ended().forEach(this::incarnationEnded);
     change.unusable().forEach(this::unusable);
-    EndpointLog.missing(change.absence());
+    EndpointLog.missing(change.missing());
   }
 
   private void unusable(UnusableEntry entry) {
@@ -316,23 +318,24 @@
     EndpointLog.unusable(entry);
   }
 
-  private void incarnationEnded(EndpointLife incarnation) {
+  private void incarnationEnded(EndpointIncarnation incarnation) {
     EndpointLog.ended(incarnation, "restarted", context.directory().ageMillis(clock.millis()));
     List.copyOf(runs).forEach(run -> run.incarnationEnded(incarnation));
   }
 
   private void changed(Endpoint endpoint) {
     EndpointView known = context.placer().views().get(endpoint.id());
-    boolean newIncarnation = known == null || !known.life().sameAs(endpoint.life());
+    boolean newIncarnation =
+        known == null || !known.incarnation().maybeSameAs(endpoint.incarnation());
     boolean significant = newIncarnation || known.endpoint().leaving() != endpoint.leaving();
     if (newIncarnation) {
       EndpointView created = view(endpoint);
-      created.listed(endpoint, clock.millis());
+      created.updateFromList(endpoint, clock.millis());
       context.placer().views().put(endpoint.id(), created);
       context.agents().endpointListed(endpoint);
     } else {
-      known.listed(endpoint, clock.millis());
-      availability.of(endpoint.life());
+      known.updateFromList(endpoint, clock.millis());
+      availability.of(endpoint.incarnation());
     }
     if (significant) {
       EndpointLog.changed(endpoint);
@@ -340,9 +343,9 @@
   }
 
   private EndpointView view(Endpoint endpoint) {
-    int adapterSlots = engine(endpoint).map(EngineSpec::adapterPlaces).orElse(0);
+    int adapterSlots = engine(endpoint).map(EngineSpec::adapterCapacity).orElse(0);
     return new EndpointView(
-        endpoint, memoryTokens(endpoint), adapterSlots, availability.of(endpoint.life()));
+        endpoint, memoryTokens(endpoint), adapterSlots, availability.of(endpoint.incarnation()));
   }
 
   private long memoryTokens(Endpoint endpoint) {
@@ -381,7 +384,7 @@
   /** Whether callers with keys are refused now, or will be before the balancer redirects them. */
   private boolean keysUnconfirmed() {
     boolean required =
-        context.configuration().current().filter(c -> c.accounts().required()).isPresent();
+        context.configuration().current().filter(c -> c.accounts().keyRequired()).isPresent();
     boolean confirmed =
         !required || (accounts.confirmed() && !(configurationUnreachable && accounts.expiring()));
     if (confirmed != keysConfirmed) {
@@ -470,16 +473,16 @@
   private final class IncarnationUpdates implements AgentConnections.IncarnationListener {
 
     @Override
-    public void incarnationSeen(EndpointLife incarnation, String address) {
+    public void incarnationSeen(EndpointIncarnation incarnation, String address) {
       apply(context.directory().agentReported(incarnation, address, clock.millis()));
     }
 
     /** The requests running there are treated as lost; the incarnation may be seen again. */
     @Override
-    public void incarnationLost(EndpointLife incarnation) {
+    public void incarnationLost(EndpointIncarnation incarnation) {
       EndpointView view = context.placer().views().get(incarnation.id());
-      if (view != null && view.life().sameAs(incarnation)) {
-        view.endedByAgent();
+      if (view != null && view.incarnation().maybeSameAs(incarnation)) {
+        view.markEndedByAgent();
       }
       context.directory().agentLost(incarnation.id());
       EndpointLog.ended(incarnation, "not-seen", context.directory().ageMillis(clock.millis()));
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardServer.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardServer.java
@@ -91,16 +91,18 @@
             .setServerOption(UndertowOptions.DECODE_URL, false)
             .setServerOption(UndertowOptions.ALLOW_UNESCAPED_CHARACTERS_IN_URL, true)
             .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
-            .addHttpListener(settings.callers().getPort(), settings.callers().getHostString())
+            .addHttpListener(
+                settings.callerAddress().getPort(), settings.callerAddress().getHostString())
             .setHandler(this::handle)
             .build();
     callerListener.start();
     callerListener.getListenerInfo().forEach(Undertow.ListenerInfo::suspend);
-    loop.after(settings.holdMillis(), this::open);
+    loop.after(settings.maxStartupHoldMillis(), this::open);
     readinessListener =
         Undertow.builder()
             .setWorker(worker)
-            .addHttpListener(settings.readiness().getPort(), settings.readiness().getHostString())
+            .addHttpListener(
+                settings.readinessAddress().getPort(), settings.readinessAddress().getHostString())
             .setHandler(this::answerReadiness)
             .build();
     readinessListener.start();
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardSettings.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import java.util.Optional;
-import org.hornbeamusher.directory.ListSettings;
+import org.hornbeamusher.directory.EndpointListSettings;
 import org.hornbeamusher.quota.QuotaTolerance;
 import org.hornbeamusher.routes.RevocationBounds;
 
@@ -11,27 +11,27 @@
  *
  * @param instance name of the instance
  * @param zone availability zone of the instance
- * @param callers address of the listener for callers
- * @param readiness address of the readiness check
- * @param metrics address of the metrics listener; empty for none
+ * @param callerAddress address of the listener for callers
+ * @param readinessAddress address of the readiness check
+ * @param metricsAddress address of the metrics listener; empty for none
  * @param agentPort the port of every agent
  * @param drainMillis maximum duration of a drain
  * @param list settings for reading the list of endpoints
- * @param holdMillis longest time that callers wait for the configuration at startup
- * @param repeats limits of retries
+ * @param maxStartupHoldMillis longest time that callers wait for the configuration at startup
+ * @param retries limits of retries
  * @param revocation how soon a revoked key is refused
  * @param quotas tolerated overshoot of the quotas of client accounts
  */
 public record ForwardSettings(
     String instance,
     String zone,
-    InetSocketAddress callers,
-    InetSocketAddress readiness,
-    Optional<InetSocketAddress> metrics,
+    InetSocketAddress callerAddress,
+    InetSocketAddress readinessAddress,
+    Optional<InetSocketAddress> metricsAddress,
     int agentPort,
     long drainMillis,
-    ListSettings list,
-    long holdMillis,
-    RepeatSettings repeats,
+    EndpointListSettings list,
+    long maxStartupHoldMillis,
+    ServiceRetrySettings retries,
     RevocationBounds revocation,
     QuotaTolerance quotas) {}
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardedRequest.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardedRequest.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 import java.util.Set;
 import org.hornbeamusher.accounts.AccountName;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.failure.Outcome;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpHead;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.http.HttpRequest;
+import org.hornbeamusher.ids.EndpointIncarnation;
 import org.hornbeamusher.loop.EventLoop;
 import org.hornbeamusher.placement.EndpointView;
 import org.hornbeamusher.placement.Placement;
@@ -60,10 +60,10 @@
   private final CallerRequest request;
   private final CallerResponse caller;
   private final Listener listener;
-  private final Set<EndpointLife> tried = new HashSet<>();
+  private final Set<EndpointIncarnation> tried = new HashSet<>();
 
   /** Endpoints to which no connection was free; they are tried again later. */
-  private final Set<EndpointLife> connectionsInUse = new HashSet<>();
+  private final Set<EndpointIncarnation> connectionsInUse = new HashSet<>();
 
   private RequestLog log = new RequestLog("");
 
@@ -130,7 +130,7 @@
   }
 
   private void admit() {
-    RequestFacts metadata = context.headerCodec().request(request.headers());
+    RequestMetadata metadata = context.headerCodec().parseRequest(request.headers());
     log = new RequestLog(metadata.id());
     routed = context.admission().admit(request, metadata);
     route = routed.route();
@@ -147,7 +147,7 @@
   /** The latest useful time for the first event; a caller of a stream waits no longer for it. */
   private long startByMillis() {
     return route.kind() == RequestKind.STREAMING && !relay.started()
-        ? Math.min(deadlineMillis, request.arrivedMillis() + route.patienceMillis())
+        ? Math.min(deadlineMillis, request.arrivedMillis() + route.eventTimeoutMillis())
         : deadlineMillis;
   }
 
@@ -156,9 +156,9 @@
     long remaining = startByMillis() - now;
     Placement placement = context.placer().place(service, placementRequest, excluded(), now);
     switch (placement) {
-      case Placement.Nowhere nowhere when !connectionsInUse.isEmpty() -> awaitConnection();
-      case Placement.Nowhere nowhere -> giveUp(noEndpoint(nowhere));
-      case Placement.At at -> {
+      case Placement.Unplaceable nowhere when !connectionsInUse.isEmpty() -> awaitConnection();
+      case Placement.Unplaceable nowhere -> giveUp(noEndpoint(nowhere));
+      case Placement.Assigned at -> {
         if (at.rateWaitMillis() > targetLatencyLeftMillis()) {
           giveUp(notRun(FailureType.ENDPOINT_LIMITED, service).retryAfter(at.rateWaitMillis()));
         } else if (at.estimateMillis() > remaining || remaining < MIN_SEND_MILLIS) {
@@ -170,11 +170,11 @@
     }
   }
 
-  private Set<EndpointLife> excluded() {
+  private Set<EndpointIncarnation> excluded() {
     if (connectionsInUse.isEmpty()) {
       return tried;
     }
-    Set<EndpointLife> excluded = new HashSet<>(tried);
+    Set<EndpointIncarnation> excluded = new HashSet<>(tried);
     excluded.addAll(connectionsInUse);
     return excluded;
   }
@@ -189,7 +189,7 @@
     }
   }
 
-  private HornbeamusherException noEndpoint(Placement.Nowhere nowhere) {
+  private HornbeamusherException noEndpoint(Placement.Unplaceable nowhere) {
     return switch (nowhere.reason()) {
       case NO_ENDPOINT, ALL_TRIED -> notRun(FailureType.NO_ENDPOINT, service);
       case ALL_BACK_OFF ->
@@ -197,14 +197,14 @@
     };
   }
 
-  private void placedAt(Placement.At at, long remaining) {
+  private void placedAt(Placement.Assigned at, long remaining) {
     endpoint = at.endpoint();
     placedMillis = now();
     loadPossibleMillis = placedMillis;
     pendingPromptTokens = endpoint.uncachedTokens(placementRequest);
     promptPending = true;
     log.placed(service, placementRequest, at, remaining, context, placedMillis);
-    endpoint.started(placementRequest, placedMillis);
+    endpoint.requestStarted(placementRequest, placedMillis);
     if (endpoint.limit().requestsPerSecond().isEmpty()) {
       permitGranted();
     } else {
@@ -218,7 +218,7 @@
   public void permitGranted() {
     permit = PendingRatePermit.NONE;
     loadPossibleMillis = now();
-    boolean present = placementRequest.adapter().map(endpoint::holds).orElse(true);
+    boolean present = placementRequest.adapter().map(endpoint::isResident).orElse(true);
     placementRequest
         .adapter()
         .ifPresent(adapter -> reserve(adapter, startByMillis() - loadPossibleMillis));
@@ -234,12 +234,12 @@
     placeAgain();
   }
 
-  private void reserve(HeldAdapter adapter, long remaining) {
+  private void reserve(AdapterVersion adapter, long remaining) {
     reservation =
         context
             .agents()
             .reserve(
-                endpoint.life(),
+                endpoint.incarnation(),
                 new EngineReservation.Request(
                     routed.metadata().id(),
                     adapter,
@@ -289,30 +289,30 @@
     if (finished || attempt != null) {
       return;
     }
-    HeldAdapter adapter = placementRequest.adapter().orElseThrow();
+    AdapterVersion adapter = placementRequest.adapter().orElseThrow();
     // The agent may not have been connected when the request was placed, so it has no reservation.
     boolean unknown = reservation == EngineReservation.NONE && endpoint.agentConnected();
     if (unknown || !endpoint.takesRequests(now())) {
       placeAgain();
       return;
     }
-    if (!endpoint.agentConnected() && endpoint.holds(adapter)) {
+    if (!endpoint.agentConnected() && endpoint.isResident(adapter)) {
       // Without the agent there is no grant, but the list shows that the load is complete.
       reservationGranted();
       return;
     }
-    if (!endpoint.holdsModel(adapter.key().model())) {
+    if (!endpoint.hasModel(adapter.key().model())) {
       loadPossibleMillis = now();
     }
-    if (!endpoint.awaits(adapter)
+    if (!endpoint.isLoading(adapter)
         && context.placer().place(service, placementRequest, excluded(), now())
-            instanceof Placement.At at
+            instanceof Placement.Assigned at
         && at.endpoint() != endpoint
-        && at.worthLeavingFor(now() - loadPossibleMillis)) {
+        && at.justifiesMove(now() - loadPossibleMillis)) {
       placeAgain();
       return;
     }
-    if (!endpoint.awaits(adapter) && pastTargetLatency() && endpoint.crowded(now())) {
+    if (!endpoint.isLoading(adapter) && pastTargetLatency() && endpoint.lacksAdapterSlots(now())) {
       releaseEndpoint();
       giveUp(notRun(FailureType.LOAD_TOO_LATE, adapter));
       return;
@@ -346,19 +346,19 @@
     cancel(placementTimer);
     reservation.requestSent();
     sentMillis = now();
-    endpointPromptTokens = endpoint.unreadTokens();
+    endpointPromptTokens = endpoint.pendingPromptTokens();
     sends++;
     possibleRuns++;
-    SendFacts sent =
-        new SendFacts(
+    AttemptMetadata sent =
+        new AttemptMetadata(
             endpoint.id(),
             deadlineMillis - sentMillis,
             routed.rank(),
             routed.accountName(),
             relay.lastEvent());
     URI uri = endpoint.endpoint().uri();
-    HttpCall call =
-        new HttpCall(
+    HttpRequest call =
+        new HttpRequest(
             request.method(),
             uri,
             request.host(),
@@ -393,14 +393,14 @@
     if (promptPending && from.status() < SERVER_ERROR) {
       promptProcessed();
       endpoint.succeeded(now() - sentMillis);
-      context.placer().promptTook(endpoint, endpointPromptTokens, now() - sentMillis);
+      context.placer().recordFirstEventTime(endpoint, endpointPromptTokens, now() - sentMillis);
     }
   }
 
   private void promptProcessed() {
     if (promptPending) {
       promptPending = false;
-      endpoint.promptRead(pendingPromptTokens);
+      endpoint.promptProcessed(pendingPromptTokens);
       reservation.promptProcessed();
     }
   }
@@ -439,9 +439,9 @@
     boolean failed = status >= SERVER_ERROR;
     if (failed) {
       left.failed(now());
-      tried.add(left.life());
+      tried.add(left.incarnation());
     } else if (placementRequest.adapter().isPresent()) {
-      left.ran(now() - sentMillis);
+      left.runCompleted(now() - sentMillis);
     }
     if (failed && route.repeatable() && relay.canContinue() && mayRetry()) {
       failureBuffered = true;
@@ -458,7 +458,7 @@
     possibleRuns--;
     unsent++;
     left.failed(now());
-    tried.add(left.life());
+    tried.add(left.incarnation());
     if (unsent > MAX_UNSENT) {
       giveUp(notRun(FailureType.NO_ENDPOINT, service));
     } else {
@@ -474,7 +474,7 @@
   }
 
   private void noConnection(EndpointView left) {
-    connectionsInUse.add(left.life());
+    connectionsInUse.add(left.incarnation());
     withdrawn();
   }
 
@@ -484,7 +484,7 @@
     if (status == MISDIRECTED) {
       left.misdirected(now());
     }
-    tried.add(left.life());
+    tried.add(left.incarnation());
     if (refusals > MAX_REFUSALS || !takeRetry()) {
       giveUp(notRun(FailureType.ENDPOINT_REFUSED, left.id()));
     } else {
@@ -495,7 +495,7 @@
   private void failed(EndpointView left, FailureType cause) {
     mayHaveRun = true;
     left.failed(now());
-    tried.add(left.life());
+    tried.add(left.incarnation());
     if (route.repeatable() && relay.canContinue() && mayRetry()) {
       place();
       return;
@@ -504,7 +504,7 @@
   }
 
   private boolean mayRetry() {
-    return sends < route.attempts() && takeRetry();
+    return sends < route.maxAttempts() && takeRetry();
   }
 
   private boolean takeRetry() {
@@ -538,7 +538,7 @@
    * the connection may stay open and silent for as long as the caller waits. Whether the request
    * ran is unknown.
    */
-  void endpointLost(EndpointLife incarnation) {
+  void endpointLost(EndpointIncarnation incarnation) {
     if (attempt != null && isAt(incarnation)) {
       Attempt silent = attempt;
       silent.cancel();
@@ -550,15 +550,15 @@
    * Called when a new incarnation with its own adapter queue has replaced an incarnation of an
    * endpoint. A request that waits in the former queue was not sent and is placed anew.
    */
-  void incarnationEnded(EndpointLife ended) {
+  void incarnationEnded(EndpointIncarnation ended) {
     endpointLost(ended);
     if (attempt == null && isAt(ended)) {
       placeAgain();
     }
   }
 
-  private boolean isAt(EndpointLife incarnation) {
-    return !finished && endpoint != null && endpoint.life().sameAs(incarnation);
+  private boolean isAt(EndpointIncarnation incarnation) {
+    return !finished && endpoint != null && endpoint.incarnation().maybeSameAs(incarnation);
   }
 
   private void deadlinePassed() {
@@ -573,7 +573,7 @@
         permit == PendingRatePermit.NONE
             ? notRun(
                 FailureType.LOAD_TOO_LATE,
-                placementRequest.adapter().map(HeldAdapter::toString).orElse(service))
+                placementRequest.adapter().map(AdapterVersion::toString).orElse(service))
             : notRun(FailureType.ENDPOINT_LIMITED, service);
     releaseEndpoint();
     if (atEndpoint || mayHaveRun) {
@@ -613,9 +613,9 @@
     if (endpoint != null) {
       if (promptPending) {
         promptPending = false;
-        endpoint.promptRead(pendingPromptTokens);
+        endpoint.promptProcessed(pendingPromptTokens);
       }
-      endpoint.ended();
+      endpoint.requestEnded();
       reservation.release();
     }
     reservation = EngineReservation.NONE;
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/Dialect.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/HeaderCodec.java
@@ -5,7 +5,7 @@
 import org.hornbeamusher.http.HttpHeader;
 
 /** Reads and writes the headers exchanged with callers and endpoints. */
-public interface Dialect {
+public interface HeaderCodec {
 
   /**
    * Parses a request's headers.
@@ -14,7 +14,7 @@
    * @return the metadata in them
    * @throws org.hornbeamusher.failure.HornbeamusherException of type {@code INVALID_HEADER}
    */
-  RequestFacts request(List<HttpHeader> headers);
+  RequestMetadata parseRequest(List<HttpHeader> headers);
 
   /**
    * Creates the headers of a request to an endpoint.
@@ -24,7 +24,7 @@
    * @return the caller's headers without hop-by-hop headers and those that only this system may
    *     set, and the added metadata
    */
-  List<HttpHeader> toEndpoint(List<HttpHeader> headers, SendFacts metadata);
+  List<HttpHeader> toEndpoint(List<HttpHeader> headers, AttemptMetadata metadata);
 
   /**
    * Parses the head of a response.
@@ -32,7 +32,7 @@
    * @param head as the endpoint sent it
    * @return the metadata in it
    */
-  AnswerFacts answer(HttpHead head);
+  ResponseMetadata parseResponse(HttpHead head);
 
   /**
    * Creates the headers of a response to a caller.
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/RequestAdmission.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/RequestAdmission.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.hornbeamusher.accounts.ClientAccount;
 import org.hornbeamusher.clock.Clock;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.events.EventLog;
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.failure.FailureType;
@@ -13,10 +13,10 @@
 import org.hornbeamusher.quota.QuotaDecision;
 import org.hornbeamusher.quota.QuotaMeter;
 import org.hornbeamusher.routes.Configuration;
-import org.hornbeamusher.routes.ConfigurationInForce;
+import org.hornbeamusher.routes.CurrentConfiguration;
+import org.hornbeamusher.routes.LatestAdapterVersions;
 import org.hornbeamusher.routes.Route;
-import org.hornbeamusher.routes.VersionsInForce;
-import org.hornbeamusher.routing.Rendezvous;
+import org.hornbeamusher.routing.RendezvousHash;
 
 /**
  * Admits or refuses requests: determines the route and the client account, charges the account's
@@ -24,16 +24,16 @@
  */
 final class RequestAdmission {
 
-  private final ConfigurationInForce configuration;
-  private final VersionsInForce versions;
+  private final CurrentConfiguration configuration;
+  private final LatestAdapterVersions versions;
   private final AccountCheck accounts;
   private final QuotaMeter<?> meter;
   private final UsageExchange usage;
   private final Clock clock;
 
   RequestAdmission(
-      ConfigurationInForce configuration,
-      VersionsInForce versions,
+      CurrentConfiguration configuration,
+      LatestAdapterVersions versions,
       AccountCheck accounts,
       QuotaMeter<?> meter,
       UsageExchange usage,
@@ -51,7 +51,7 @@
    *
    * @throws HornbeamusherException if it is refused
    */
-  RoutedRequest admit(CallerRequest request, RequestFacts metadata) {
+  RoutedRequest admit(CallerRequest request, RequestMetadata metadata) {
     Configuration current =
         configuration
             .current()
@@ -65,7 +65,7 @@
             .orElseThrow(
                 () -> HornbeamusherException.notRun(FailureType.UNKNOWN_PATH, request.path()));
     Optional<ClientAccount> account = identify(current, route, metadata);
-    long hash = Rendezvous.hash(metadata.id());
+    long hash = RendezvousHash.hash(metadata.id());
     long budget = Math.min(route.timeoutMillis(), metadata.budgetMillis().orElse(Long.MAX_VALUE));
     return new RoutedRequest(
         metadata,
@@ -76,7 +76,7 @@
         request.arrivedMillis() + budget,
         new PlacementRequest(
             hash,
-            metadata.adapter().map(key -> new HeldAdapter(key, versions.of(key))),
+            metadata.adapter().map(key -> new AdapterVersion(key, versions.of(key))),
             metadata.promptTokens(),
             metadata.outputTokens(),
             request.body().length,
@@ -99,11 +99,11 @@
 
   /** Refunds the quota charge of a request that did not run. */
   void refund(RoutedRequest request) {
-    request.charge().ifPresent(charge -> meter.giveBack(charge, clock.millis()));
+    request.charge().ifPresent(charge -> meter.refund(charge, clock.millis()));
   }
 
   private Optional<ClientAccount> identify(
-      Configuration current, Route route, RequestFacts metadata) {
+      Configuration current, Route route, RequestMetadata metadata) {
     try {
       return accounts.identify(current, route, metadata);
     } catch (HornbeamusherException e) {
@@ -114,7 +114,8 @@
     }
   }
 
-  private QuotaCharge charge(ClientAccount account, RequestFacts metadata, Configuration current) {
+  private QuotaCharge charge(
+      ClientAccount account, RequestMetadata metadata, Configuration current) {
     long cost = account.quota().cost(metadata.tokens());
     return switch (meter.admit(account.name(), cost, clock.millis())) {
       case QuotaDecision.Admitted admitted -> {
@@ -150,7 +151,7 @@
     };
   }
 
-  private void log(RequestFacts metadata, String account, FailureType cause, long version) {
+  private void log(RequestMetadata metadata, String account, FailureType cause, long version) {
     EventLog.log(
         EventType.ACCOUNT_REFUSED,
         "id",
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/RequestLog.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/RequestLog.java
@@ -1,13 +1,13 @@
 package org.hornbeamusher.forwarding;
 
-import org.hornbeamusher.availability.StatedRetryAfter;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.availability.RetryAfter;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.events.EventLog;
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.placement.Placement;
 import org.hornbeamusher.placement.PlacementRequest;
-import org.hornbeamusher.ratelimit.StatedLimit;
+import org.hornbeamusher.ratelimit.AdvertisedRateLimit;
 import org.hornbeamusher.routes.Configuration;
 
 /**
@@ -21,7 +21,7 @@
   void placed(
       String service,
       PlacementRequest request,
-      Placement.At at,
+      Placement.Assigned at,
       long remainingMillis,
       ForwardContext context,
       long now) {
@@ -32,19 +32,19 @@
         "service",
         service,
         "adapter",
-        request.adapter().map(HeldAdapter::toString).orElse(""),
+        request.adapter().map(AdapterVersion::toString).orElse(""),
         "endpoint",
         at.endpoint().id(),
         "start_ms",
-        at.endpoint().life().startMillis(),
+        at.endpoint().incarnation().startMillis(),
         "present",
-        at.present(),
+        at.canStartNow(),
         "estimate_ms",
         at.estimateMillis(),
         "stall_ms",
         at.stallMillis(),
         "place_free",
-        at.placeFree(),
+        at.canLoadNow(),
         "remaining_ms",
         remainingMillis,
         "running",
@@ -77,7 +77,7 @@
         "endpoint",
         attempt.endpoint().id(),
         "start_ms",
-        attempt.endpoint().life().startMillis(),
+        attempt.endpoint().incarnation().startMillis(),
         "end",
         end,
         "status",
@@ -89,26 +89,26 @@
         "last_event",
         relay.lastEvent().orElse(-1),
         "stated_limit_per_s",
-        text(attempt.metadata().limit()),
+        text(attempt.metadata().rateLimit()),
         "stated_retry_after_ms",
         text(attempt.metadata().retryAfter()),
         "stated_leaving",
         attempt.metadata().leaving());
   }
 
-  private static String text(StatedRetryAfter stated) {
+  private static String text(RetryAfter stated) {
     return switch (stated) {
-      case StatedRetryAfter.Millis time -> Long.toString(time.millis());
-      case StatedRetryAfter.None none -> "";
-      case StatedRetryAfter.Unreadable unreadable -> "unreadable";
+      case RetryAfter.Millis time -> Long.toString(time.millis());
+      case RetryAfter.None none -> "";
+      case RetryAfter.Unreadable unreadable -> "unreadable";
     };
   }
 
-  private static String text(StatedLimit stated) {
+  private static String text(AdvertisedRateLimit stated) {
     return switch (stated) {
-      case StatedLimit.PerSecond limit -> Double.toString(limit.requestsPerSecond());
-      case StatedLimit.None none -> "";
-      case StatedLimit.Unreadable unreadable -> "unreadable";
+      case AdvertisedRateLimit.PerSecond limit -> Double.toString(limit.requestsPerSecond());
+      case AdvertisedRateLimit.None none -> "";
+      case AdvertisedRateLimit.Unreadable unreadable -> "unreadable";
     };
   }
 
