--- a/runtime/src/main/java/org/hornbeamusher/forwarding/RequestFacts.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/RequestMetadata.java
@@ -15,26 +15,26 @@
  * @param adapter the adapter to run it on; empty for a plain service
  * @param promptTokens length of the prompt; 0 if not stated
  * @param outputTokens maximum length of the output; 0 if not stated
- * @param sized whether both lengths are stated
+ * @param tokensStated whether both lengths are stated
  * @param parts the parts of the prompt in order
  * @param lastEvent the last event that the caller received; empty for a stream from the start
  * @param keys the account keys in order; a valid request has at most one
  * @param emptyKey whether there is a key header without a value
  */
-public record RequestFacts(
+public record RequestMetadata(
     String id,
     OptionalLong budgetMillis,
     Optional<AdapterKey> adapter,
     int promptTokens,
     int outputTokens,
-    boolean sized,
+    boolean tokensStated,
     List<PromptPart> parts,
     OptionalLong lastEvent,
     List<AccountKey> keys,
     boolean emptyKey) {
 
   /** Copies the lists. */
-  public RequestFacts {
+  public RequestMetadata {
     parts = List.copyOf(parts);
     keys = List.copyOf(keys);
   }
@@ -45,6 +45,8 @@
    * @return the sum of prompt and output tokens; empty if not stated
    */
   public OptionalLong tokens() {
-    return sized ? OptionalLong.of((long) promptTokens + outputTokens) : OptionalLong.empty();
+    return tokensStated
+        ? OptionalLong.of((long) promptTokens + outputTokens)
+        : OptionalLong.empty();
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/RetryAllowance.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/RetryAllowance.java
@@ -18,10 +18,10 @@
   /** The unused part of the limit covers entries that have just started or just left. */
   private static final double USED_FRACTION = 0.75;
 
-  private final RepeatSettings settings;
+  private final ServiceRetrySettings settings;
   private final Map<String, ServiceWindow> services = new HashMap<>();
 
-  RetryAllowance(RepeatSettings settings) {
+  RetryAllowance(ServiceRetrySettings settings) {
     this.settings = settings;
   }
 
@@ -32,8 +32,8 @@
   /** Takes one retry; returns false if none is left. */
   boolean tryTake(String service, int entries, long now) {
     ServiceWindow window = window(service);
-    double fixed = settings.fixed() * USED_FRACTION / Math.max(1, entries);
-    double allowed = settings.share() * USED_FRACTION * window.requests.total(now) + fixed;
+    double fixed = settings.fixedRetries() * USED_FRACTION / Math.max(1, entries);
+    double allowed = settings.retryRatio() * USED_FRACTION * window.requests.total(now) + fixed;
     if (window.retries.total(now) + 1 > allowed) {
       return false;
     }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/RoutedRequest.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/RoutedRequest.java
@@ -20,7 +20,7 @@
  * @param placementRequest the inputs of placement
  */
 record RoutedRequest(
-    RequestFacts metadata,
+    RequestMetadata metadata,
     Route route,
     String service,
     Optional<ClientAccount> account,
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/UsageExchange.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/UsageExchange.java
@@ -10,7 +10,7 @@
 import org.hornbeamusher.loop.EventLoop;
 import org.hornbeamusher.quota.QuotaMeter;
 import org.hornbeamusher.quota.QuotaSettings;
-import org.hornbeamusher.routing.Rendezvous;
+import org.hornbeamusher.routing.RendezvousHash;
 import org.hornbeamusher.wire.Message;
 
 /**
@@ -62,23 +62,28 @@
   @Override
   public void opened(InetSocketAddress agent) {
     connected.add(agent);
-    meter.opened(agent);
+    meter.relayConnected(agent);
   }
 
   @Override
   public void closed(InetSocketAddress agent) {
     connected.remove(agent);
-    meter.closed(agent);
+    meter.relayDisconnected(agent);
   }
 
   @Override
   public void received(InetSocketAddress agent, Message.UsageUpdate update) {
-    meter.relayed(agent, update.increments(), update.reachable(), update.entries(), clock.millis());
+    meter.usageReported(
+        agent,
+        update.increments(),
+        update.reachableEntryCount(),
+        update.entryCount(),
+        clock.millis());
   }
 
   /** Called when the usage of an account has changed at this entry. */
   void changed(AccountName account) {
-    if (!reportingSoon && meter.urgent(account, clock.millis())) {
+    if (!reportingSoon && meter.reportUrgent(account, clock.millis())) {
       reportingSoon = true;
       loop.after(
           settings.urgentMillis(),
@@ -91,7 +96,7 @@
 
   private void reportRegularly() {
     report();
-    loop.after(settings.intervalMillis(meter.entries()), this::reportRegularly);
+    loop.after(settings.intervalMillis(meter.entryCount()), this::reportRegularly);
   }
 
   private void report() {
@@ -102,7 +107,7 @@
 
   private List<InetSocketAddress> relays() {
     return connected.stream()
-        .sorted(Comparator.comparingLong(agent -> Rendezvous.hash(agent.toString())))
+        .sorted(Comparator.comparingLong(agent -> RendezvousHash.hash(agent.toString())))
         .limit(RELAY_COUNT)
         .toList();
   }
--- a/runtime/src/main/java/org/hornbeamusher/holdings/AdapterSlots.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/AdapterSlots.java
@@ -9,9 +9,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.routes.AdapterKey;
-import org.hornbeamusher.routes.VersionsInForce;
+import org.hornbeamusher.routes.LatestAdapterVersions;
 
 /**
  * Decides which adapters the engine beside this agent keeps loaded.
@@ -68,7 +68,7 @@
   private static final int SLOTS_KEPT_FOR_ON_TIME = 1;
 
   private final int slots;
-  private final VersionsInForce versions;
+  private final LatestAdapterVersions versions;
   private final long startedMillis;
 
   private final Map<ReservationId, Reservation> reservations = new LinkedHashMap<>();
@@ -96,7 +96,7 @@
    * @param versions the newest version of each adapter
    * @param now milliseconds
    */
-  public AdapterSlots(int slots, VersionsInForce versions, long now) {
+  public AdapterSlots(int slots, LatestAdapterVersions versions, long now) {
     this.slots = slots;
     this.loadTimes = new LoadTimeEstimator(slots);
     this.versions = versions;
@@ -235,7 +235,7 @@
     return granted;
   }
 
-  private boolean isUsable(HeldAdapter adapter) {
+  private boolean isUsable(AdapterVersion adapter) {
     if (report == null || !report.models().contains(adapter.key().model())) {
       return false;
     }
@@ -256,18 +256,18 @@
    *
    * @return adapters held at their newest version and not withdrawn, and the base models
    */
-  public Set<HeldAdapter> held() {
-    Set<HeldAdapter> held = new HashSet<>();
+  public Set<AdapterVersion> held() {
+    Set<AdapterVersion> held = new HashSet<>();
     if (report == null) {
       return held;
     }
-    report.models().forEach(model -> held.add(new HeldAdapter(new AdapterKey(model, ""), 1)));
+    report.models().forEach(model -> held.add(new AdapterVersion(new AdapterKey(model, ""), 1)));
     report
         .adapters()
         .forEach(
             (key, version) -> {
               if (!withdrawn.containsKey(key) && version >= versions.of(key) && !isReplacing(key)) {
-                held.add(new HeldAdapter(key, version));
+                held.add(new AdapterVersion(key, version));
               }
             });
     return held;
@@ -278,9 +278,9 @@
    *
    * @return adapters ordered or loading, at their newest version
    */
-  public Set<HeldAdapter> loading() {
-    Set<HeldAdapter> loading = new HashSet<>(report == null ? Set.of() : report.pending());
-    ordered.forEach(key -> loading.add(new HeldAdapter(key, versions.of(key))));
+  public Set<AdapterVersion> loading() {
+    Set<AdapterVersion> loading = new HashSet<>(report == null ? Set.of() : report.loading());
+    ordered.forEach(key -> loading.add(new AdapterVersion(key, versions.of(key))));
     return loading;
   }
 
@@ -291,9 +291,9 @@
    */
   public boolean changeExpected() {
     return report == null
-        || report.busy()
+        || report.loadingBaseModel()
         || report.models().isEmpty()
-        || !report.pending().isEmpty()
+        || !report.loading().isEmpty()
         || !ordered.isEmpty()
         || outstandingOrder != null;
   }
@@ -345,7 +345,10 @@
    * @return the order, or empty when there is nothing to do
    */
   public Optional<EngineOrder> nextOrder(List<String> models, long now) {
-    if (report == null || outstandingOrder != null || report.busy() || report.leaving()) {
+    if (report == null
+        || outstandingOrder != null
+        || report.loadingBaseModel()
+        || report.leaving()) {
       return Optional.empty();
     }
     waiting.values().removeIf(wanted -> wanted.expiresMillis() <= now);
@@ -375,9 +378,9 @@
    *
    * @param result the result
    */
-  public void orderCompleted(OrderAnswer result) {
+  public void orderCompleted(OrderResult result) {
     outstandingOrder = null;
-    if (result != OrderAnswer.ACCEPTED && result != OrderAnswer.UNKNOWN) {
+    if (result != OrderResult.ACCEPTED && result != OrderResult.UNKNOWN) {
       ordered.clear();
     }
   }
@@ -409,7 +412,7 @@
         }
         continue;
       }
-      if (report.pending().size() + ordered.size() >= loadTimes.maxConcurrentLoads()) {
+      if (report.loading().size() + ordered.size() >= loadTimes.maxConcurrentLoads()) {
         return Optional.empty();
       }
       if (occupiedSlots() < slots) {
@@ -440,12 +443,12 @@
 
   private boolean isLoading(AdapterKey key) {
     return ordered.contains(key)
-        || report.pending().stream().anyMatch(pending -> pending.key().equals(key));
+        || report.loading().stream().anyMatch(pending -> pending.key().equals(key));
   }
 
   private int occupiedSlots() {
     Set<AdapterKey> occupied = new HashSet<>(report.adapters().keySet());
-    report.pending().forEach(pending -> occupied.add(pending.key()));
+    report.loading().forEach(pending -> occupied.add(pending.key()));
     occupied.addAll(ordered);
     return occupied.size();
   }
@@ -472,7 +475,7 @@
 
   /** Returns a load of a newer version of an adapter in demand, before a request needs it. */
   private Optional<EngineOrder> newVersionOrder(long now) {
-    if (report.pending().size() + ordered.size() >= loadTimes.maxConcurrentLoads()) {
+    if (report.loading().size() + ordered.size() >= loadTimes.maxConcurrentLoads()) {
       return Optional.empty();
     }
     return report.adapters().keySet().stream()
--- a/runtime/src/main/java/org/hornbeamusher/holdings/EngineReport.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/EngineReport.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 import java.util.Set;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.routes.AdapterKey;
 
 /**
@@ -10,19 +10,19 @@
  *
  * @param models base models it holds
  * @param adapters adapters that can run requests, with their versions
- * @param pending adapters that are being loaded; each occupies a slot
- * @param busy whether a base model is being loaded
- * @param sequence the number of orders accepted in this incarnation
+ * @param loading adapters that are being loaded; each occupies a slot
+ * @param loadingBaseModel whether a base model is being loaded
+ * @param orderSequence the number of orders accepted in this incarnation
  * @param leaving whether it is draining and takes no new work
  * @param startMillis when this incarnation started; {@link
- *     org.hornbeamusher.ids.EndpointLife#UNKNOWN_START} when the engine does not state it
+ *     org.hornbeamusher.ids.EndpointIncarnation#UNKNOWN_START} when the engine does not state it
  */
 public record EngineReport(
     Set<String> models,
     Map<AdapterKey, Long> adapters,
-    Set<HeldAdapter> pending,
-    boolean busy,
-    long sequence,
+    Set<AdapterVersion> loading,
+    boolean loadingBaseModel,
+    long orderSequence,
     boolean leaving,
     long startMillis) {
 
@@ -30,6 +30,6 @@
   public EngineReport {
     models = Set.copyOf(models);
     adapters = Map.copyOf(adapters);
-    pending = Set.copyOf(pending);
+    loading = Set.copyOf(loading);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/holdings/LoadCosts.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/LoadCosts.java
@@ -4,12 +4,13 @@
  * An agent's estimate of what it costs to load an adapter on its engine. Entries use it to place
  * requests.
  *
- * @param storeMillis duration of a load from the weight store
- * @param copyMillis duration of a load of an adapter that the engine still has cached
- * @param placeMillis how long the next adapter waits for a slot when none is free
- * @param copies number of unloaded adapters that the engine still has cached
+ * @param storeLoadMillis duration of a load from the weight store
+ * @param cachedLoadMillis duration of a load of an adapter that the engine still has cached
+ * @param slotWaitMillis how long the next adapter waits for a slot when none is free
+ * @param cachedAdapters number of unloaded adapters that the engine still has cached
  */
-public record LoadCosts(long storeMillis, long copyMillis, long placeMillis, int copies) {
+public record LoadCosts(
+    long storeLoadMillis, long cachedLoadMillis, long slotWaitMillis, int cachedAdapters) {
 
   /** A load from the weight store; the engines' data sheets state 250 to 290 ms. */
   private static final long STORE_MILLIS = 250;
@@ -29,7 +30,7 @@
    * @param slots the engine's adapter slots
    * @return the costs
    */
-  public static LoadCosts prior(int slots) {
+  public static LoadCosts initialEstimate(int slots) {
     int atLeastOne = Math.max(1, slots);
     return new LoadCosts(
         STORE_MILLIS, COPY_MILLIS, USE_MILLIS / atLeastOne, COPIES_A_PLACE * atLeastOne);
--- a/runtime/src/main/java/org/hornbeamusher/holdings/LoadPriority.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/LoadPriority.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 
 /**
  * Sorts the adapters that requests are waiting for into the order in which they are loaded:
@@ -43,7 +43,7 @@
    *     that can still meet it
    */
   static List<Reservation> sort(Collection<Reservation> waiting, long now) {
-    Map<HeldAdapter, AdapterWaiters> wanted = new LinkedHashMap<>();
+    Map<AdapterVersion, AdapterWaiters> wanted = new LinkedHashMap<>();
     waiting.forEach(
         one -> wanted.computeIfAbsent(one.adapter(), unused -> new AdapterWaiters()).add(one, now));
     return wanted.values().stream()
--- a/runtime/src/main/java/org/hornbeamusher/holdings/LoadTimeEstimator.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/LoadTimeEstimator.java
@@ -71,11 +71,11 @@
 
   LoadTimeEstimator(int slots) {
     this.slots = Math.max(1, slots);
-    LoadCosts prior = LoadCosts.prior(slots);
-    storeMillis = prior.storeMillis();
-    cachedMillis = prior.copyMillis();
-    useMillis = prior.placeMillis() * this.slots;
-    cachedAdapters = prior.copies();
+    LoadCosts prior = LoadCosts.initialEstimate(slots);
+    storeMillis = prior.storeLoadMillis();
+    cachedMillis = prior.cachedLoadMillis();
+    useMillis = prior.slotWaitMillis() * this.slots;
+    cachedAdapters = prior.cachedAdapters();
     loadWindow = new LoadConcurrencyWindow(storeMillis);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/holdings/OrderAnswer.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/OrderResult.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.holdings;
 
 /** The result of an order to an engine. */
-public enum OrderAnswer {
+public enum OrderResult {
   /** The engine executes the order. */
   ACCEPTED,
   /** The engine was already in the ordered state. */
--- a/runtime/src/main/java/org/hornbeamusher/holdings/Reservation.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/Reservation.java
@@ -1,6 +1,6 @@
 package org.hornbeamusher.holdings;
 
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 
 /**
  * A request that is running at the engine, or will be sent there once its adapter is loaded.
@@ -14,7 +14,7 @@
  */
 public record Reservation(
     ReservationId id,
-    HeldAdapter adapter,
+    AdapterVersion adapter,
     int rank,
     long pendingPromptTokens,
     long expiresMillis,
--- a/runtime/src/main/java/org/hornbeamusher/http/CollectedReply.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/CollectedReply.java
@@ -9,15 +9,15 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.failure.Outcome;
 import org.hornbeamusher.transfer.IncompleteTransferException;
-import org.hornbeamusher.transfer.TransferLimits;
 import org.hornbeamusher.transfer.TransferProgress;
+import org.hornbeamusher.transfer.TransferTimeouts;
 
 /** Collects one response, and says of one that fails what had arrived. */
 final class CollectedReply implements HttpStreamListener {
 
   private final URI uri;
   private final Clock clock;
-  private final CompletableFuture<HttpReply> future = new CompletableFuture<>();
+  private final CompletableFuture<HttpResponse> future = new CompletableFuture<>();
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
   /** Guarded by itself: a timer asks it while the connection's thread reports. */
@@ -27,13 +27,13 @@
   private Map<String, String> headers = Map.of();
 
   /** Creates a collector of the response to a request that is sent now. */
-  CollectedReply(URI uri, TransferLimits limits, Clock clock) {
+  CollectedReply(URI uri, TransferTimeouts limits, Clock clock) {
     this.uri = uri;
     this.clock = clock;
     this.progress = new TransferProgress(limits, clock.millis());
   }
 
-  CompletableFuture<HttpReply> future() {
+  CompletableFuture<HttpResponse> future() {
     return future;
   }
 
@@ -45,9 +45,9 @@
   }
 
   @Override
-  public void sent() {
+  public void requestPartSent() {
     synchronized (progress) {
-      progress.sent(clock.millis());
+      progress.requestPartSent(clock.millis());
     }
   }
 
@@ -56,7 +56,7 @@
     status = head.status();
     headers = head.firstValues();
     synchronized (progress) {
-      progress.begun(clock.millis());
+      progress.responseStarted(clock.millis());
     }
   }
 
@@ -64,19 +64,20 @@
   public void data(byte[] bytes) {
     body.writeBytes(bytes);
     synchronized (progress) {
-      progress.received(bytes.length, clock.millis());
+      progress.bodyPartReceived(bytes.length, clock.millis());
     }
   }
 
   @Override
   public void end() {
-    HttpReply whole;
+    HttpResponse whole;
     synchronized (progress) {
       if (progress.overdue()) {
         timedOut();
         return;
       }
-      whole = new HttpReply(status, headers, body.toByteArray(), progress.transfer(clock.millis()));
+      whole =
+          new HttpResponse(status, headers, body.toByteArray(), progress.transfer(clock.millis()));
     }
     future.complete(whole);
   }
--- a/runtime/src/main/java/org/hornbeamusher/http/ConnectionPool.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/ConnectionPool.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedDeque;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.hornbeamusher.clock.SteadyClock;
+import org.hornbeamusher.clock.MonotonicClock;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
 import org.xnio.Options;
@@ -100,7 +100,7 @@
       IoUtils.safeClose(connection);
       return;
     }
-    queue.addFirst(new Idle(connection, SteadyClock.INSTANCE.millis() + usableMillis));
+    queue.addFirst(new Idle(connection, MonotonicClock.INSTANCE.millis() + usableMillis));
   }
 
   /** Closes the idle connections of an origin, because they may be dead without showing it. */
@@ -113,7 +113,7 @@
 
   private ClientConnection pollOpen(String origin) {
     ConcurrentLinkedDeque<Idle> queue = queue(origin);
-    long now = SteadyClock.INSTANCE.millis();
+    long now = MonotonicClock.INSTANCE.millis();
     Idle candidate = queue.pollFirst();
     while (candidate != null) {
       if (candidate.connection().isOpen() && now < candidate.usableUntilMillis()) {
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpClient.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpClient.java
@@ -6,11 +6,11 @@
 import java.net.URI;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.hornbeamusher.clock.SteadyClock;
+import org.hornbeamusher.clock.MonotonicClock;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.loop.EventLoop;
-import org.hornbeamusher.transfer.TransferLimits;
+import org.hornbeamusher.transfer.TransferTimeouts;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.Xnio;
@@ -103,7 +103,7 @@
    * @param listener hears the response
    * @return control over the exchange
    */
-  public HttpStream stream(HttpCall call, HttpStreamListener listener) {
+  public HttpStream stream(HttpRequest call, HttpStreamListener listener) {
     HttpExchange exchange = new HttpExchange(call, listener, connections);
     exchange.begin(Integer.MAX_VALUE);
     return exchange;
@@ -120,7 +120,7 @@
    * @return control over the exchange
    */
   public HttpStream stream(
-      HttpCall call, HttpStreamListener listener, long connectMillis, int mostConnections) {
+      HttpRequest call, HttpStreamListener listener, long connectMillis, int mostConnections) {
     HttpExchange exchange = new HttpExchange(call, listener, connections);
     exchange.begin(mostConnections);
     if (!exchange.hasConnection()) {
@@ -140,8 +140,8 @@
    * @return the response; fails with {@code CONNECT_FAILED} when nothing was sent and {@code
    *     CONNECTION_CLOSED} when the request may have arrived
    */
-  public CompletableFuture<HttpReply> send(HttpCall call, long timeoutMillis) {
-    return send(call, new TransferLimits(timeoutMillis, timeoutMillis));
+  public CompletableFuture<HttpResponse> send(HttpRequest call, long timeoutMillis) {
+    return send(call, new TransferTimeouts(timeoutMillis, timeoutMillis));
   }
 
   /**
@@ -152,8 +152,8 @@
    * @return the response; fails with {@code CONNECT_FAILED} when nothing was sent and {@code
    *     CONNECTION_CLOSED} when the request may have arrived
    */
-  public CompletableFuture<HttpReply> send(HttpCall call, TransferLimits limits) {
-    CollectedReply reply = new CollectedReply(call.uri(), limits, SteadyClock.INSTANCE);
+  public CompletableFuture<HttpResponse> send(HttpRequest call, TransferTimeouts limits) {
+    CollectedReply reply = new CollectedReply(call.uri(), limits, MonotonicClock.INSTANCE);
     HttpStream stream = stream(call, reply);
     checkLater(stream, reply, call.uri());
     return reply.future();
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpExchange.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpExchange.java
@@ -38,7 +38,7 @@
   private static final ThreadLocal<ByteBuffer> READ_BUFFER =
       ThreadLocal.withInitial(() -> ByteBuffer.allocate(READ_BYTES));
 
-  private final HttpCall call;
+  private final HttpRequest call;
   private final HttpStreamListener listener;
   private final ConnectionPool connections;
   private final AtomicBoolean ended = new AtomicBoolean();
@@ -53,7 +53,7 @@
   /** False while a part of the request is still to be written. */
   private volatile boolean bodySent;
 
-  HttpExchange(HttpCall call, HttpStreamListener listener, ConnectionPool connections) {
+  HttpExchange(HttpRequest call, HttpStreamListener listener, ConnectionPool connections) {
     this.call = call;
     this.listener = listener;
     this.connections = connections;
@@ -126,7 +126,7 @@
   }
 
   private void send(ClientConnection opened) {
-    if (!ended.get() && listener.sending()) {
+    if (!ended.get() && listener.shouldSend()) {
       opened.sendRequest(request(), callback(this::sendBody, this::fail));
       return;
     }
@@ -181,7 +181,7 @@
       if (sink.write(body) == 0) {
         return false;
       }
-      listener.sent();
+      listener.requestPartSent();
     }
     sink.shutdownWrites();
     bodySent = sink.flush();
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpHead.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpHead.java
@@ -27,7 +27,7 @@
    *
    * @return whether its status is one of 200 to 299
    */
-  public boolean success() {
+  public boolean isSuccess() {
     return status >= SUCCESS_FROM && status < SUCCESS_BELOW;
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpHeader.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpHeader.java
@@ -17,7 +17,7 @@
    * @param other in any case
    * @return whether the names are the same
    */
-  public boolean named(String other) {
+  public boolean hasName(String other) {
     return name.length() == other.length() && name.equalsIgnoreCase(other);
   }
 
@@ -30,7 +30,7 @@
    */
   public static Optional<String> first(List<HttpHeader> headers, String name) {
     for (HttpHeader header : headers) {
-      if (header.named(name)) {
+      if (header.hasName(name)) {
         return Optional.of(header.value());
       }
     }
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpCall.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpRequest.java
@@ -14,11 +14,11 @@
  * @param headers besides {@code Host} and {@code Content-Length}, which the client sets
  * @param body the content, empty for none
  */
-public record HttpCall(
+public record HttpRequest(
     String method, URI uri, String host, String target, List<HttpHeader> headers, byte[] body) {
 
   /** Copies the list. */
-  public HttpCall {
+  public HttpRequest {
     headers = List.copyOf(headers);
   }
 
@@ -30,7 +30,7 @@
    * @param headers as for the record
    * @param body the content, empty for none
    */
-  public HttpCall(String method, URI uri, Map<String, String> headers, byte[] body) {
+  public HttpRequest(String method, URI uri, Map<String, String> headers, byte[] body) {
     this(method, uri, uri.getAuthority(), targetOf(uri), listOf(headers), body);
   }
 
@@ -40,8 +40,8 @@
    * @param uri what to get
    * @return the call
    */
-  public static HttpCall get(URI uri) {
-    return new HttpCall("GET", uri, Map.of(), new byte[0]);
+  public static HttpRequest get(URI uri) {
+    return new HttpRequest("GET", uri, Map.of(), new byte[0]);
   }
 
   /**
@@ -51,8 +51,8 @@
    * @param json the content
    * @return the call
    */
-  public static HttpCall postJson(URI uri, byte[] json) {
-    return new HttpCall("POST", uri, Map.of("Content-Type", "application/json"), json);
+  public static HttpRequest postJson(URI uri, byte[] json) {
+    return new HttpRequest("POST", uri, Map.of("Content-Type", "application/json"), json);
   }
 
   private static String targetOf(URI uri) {
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpReply.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpResponse.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.http;
 
 import java.util.Map;
-import org.hornbeamusher.transfer.Transfer;
+import org.hornbeamusher.transfer.TransferStats;
 
 /**
  * One whole HTTP response.
@@ -11,10 +11,11 @@
  * @param body the content
  * @param transfer what it took to arrive
  */
-public record HttpReply(int status, Map<String, String> headers, byte[] body, Transfer transfer) {
+public record HttpResponse(
+    int status, Map<String, String> headers, byte[] body, TransferStats transfer) {
 
   /** Copies the map. */
-  public HttpReply {
+  public HttpResponse {
     headers = Map.copyOf(headers);
   }
 
@@ -25,7 +26,7 @@
    * @param headers the first value of each header, by lower-case name
    * @param body the content
    */
-  public HttpReply(int status, Map<String, String> headers, byte[] body) {
-    this(status, headers, body, Transfer.NONE);
+  public HttpResponse(int status, Map<String, String> headers, byte[] body) {
+    this(status, headers, body, TransferStats.NONE);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpStreamListener.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpStreamListener.java
@@ -11,12 +11,12 @@
    *
    * @return false to send nothing; the exchange then fails with {@code SEND_WITHDRAWN}
    */
-  default boolean sending() {
+  default boolean shouldSend() {
     return true;
   }
 
   /** The connection has taken a part of the request's body. */
-  default void sent() {}
+  default void requestPartSent() {}
 
   /**
    * The response begins.
--- a/runtime/src/main/java/org/hornbeamusher/http/KeepAlive.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/KeepAlive.java
@@ -31,7 +31,7 @@
   /** Returns whether any option of any Connection field is "close" (RFC 9110, section 7.6.1). */
   private static boolean closes(HttpHead head) {
     for (HttpHeader header : head.headers()) {
-      if (header.named("connection")) {
+      if (header.hasName("connection")) {
         for (String option : header.value().split(",")) {
           if (option.trim().equalsIgnoreCase("close")) {
             return true;
--- a/runtime/src/main/java/org/hornbeamusher/ids/EndpointLife.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/EndpointIncarnation.java
@@ -16,7 +16,7 @@
  * @param startMillis when it started, Unix milliseconds by its own machine's clock; {@link
  *     #UNKNOWN_START} when it did not say
  */
-public record EndpointLife(EndpointId id, long startMillis) {
+public record EndpointIncarnation(EndpointId id, long startMillis) {
 
   /** The endpoint names no start; its id alone tells its lives apart. */
   public static final long UNKNOWN_START = 0;
@@ -27,8 +27,8 @@
    * @param other another description
    * @return false when the ids differ, or when both name a start and the starts differ
    */
-  public boolean sameAs(EndpointLife other) {
-    return id.equals(other.id) && sameStart(startMillis, other.startMillis);
+  public boolean maybeSameAs(EndpointIncarnation other) {
+    return id.equals(other.id) && maybeSameStart(startMillis, other.startMillis);
   }
 
   /**
@@ -38,7 +38,7 @@
    * @param other a start, or {@link #UNKNOWN_START}
    * @return false when both are known and differ
    */
-  public static boolean sameStart(long one, long other) {
+  public static boolean maybeSameStart(long one, long other) {
     return one == other || one == UNKNOWN_START || other == UNKNOWN_START;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/ids/Incarnation.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/ProcessIncarnation.java
@@ -5,4 +5,4 @@
  *
  * @param value drawn at random when the process starts
  */
-public record Incarnation(long value) {}
+public record ProcessIncarnation(long value) {}
--- a/runtime/src/main/java/org/hornbeamusher/membership/ConnectionPlan.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/ConnectionPlan.java
@@ -39,7 +39,7 @@
    * @param address where it listens
    * @param zone where it runs
    */
-  public record Place(String address, AvailabilityZone zone) {}
+  public record AgentLocation(String address, AvailabilityZone zone) {}
 
   /**
    * Chooses.
@@ -49,19 +49,22 @@
    * @param agents every agent of the list
    * @return the addresses to connect to
    */
-  public static Set<String> choose(String entry, AvailabilityZone zone, Collection<Place> agents) {
+  public static Set<String> chooseAgents(
+      String entry, AvailabilityZone zone, Collection<AgentLocation> agents) {
     if (agents.size() <= FULL_MESH_LIMIT) {
-      return agents.stream().map(Place::address).collect(Collectors.toCollection(TreeSet::new));
+      return agents.stream()
+          .map(AgentLocation::address)
+          .collect(Collectors.toCollection(TreeSet::new));
     }
-    Map<AvailabilityZone, List<Place>> byZone =
-        agents.stream().collect(Collectors.groupingBy(Place::zone));
+    Map<AvailabilityZone, List<AgentLocation>> byZone =
+        agents.stream().collect(Collectors.groupingBy(AgentLocation::zone));
     Set<String> chosen = new TreeSet<>();
     byZone.forEach(
         (other, places) ->
             places.stream()
                 .sorted(Comparator.comparingLong(place -> rank(entry, place.address())))
                 .limit(other.equals(zone) ? Integer.MAX_VALUE : BEYOND)
-                .map(Place::address)
+                .map(AgentLocation::address)
                 .forEach(chosen::add));
     return chosen;
   }
--- a/runtime/src/main/java/org/hornbeamusher/membership/HeartbeatMonitor.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/HeartbeatMonitor.java
@@ -11,8 +11,8 @@
  *
  * <p>A process that was itself paused has read nothing either. Were the pause taken for silence, it
  * would abandon all its connections at once on waking up, though their messages wait in its
- * sockets. {@link #silent} is therefore called every interval, and when its own calls lie too far
- * apart, the other end is given one more interval.
+ * sockets. {@link #checkTimedOut} is therefore called every interval, and when its own calls lie
+ * too far apart, the other end is given one more interval.
  *
  * <p>Not safe for use by several threads at once.
  */
@@ -52,7 +52,7 @@
    * @param now milliseconds
    * @return whether nothing came for as many intervals as the limit allows
    */
-  public boolean silent(long now) {
+  public boolean checkTimedOut(long now) {
     boolean paused = now - checkedMillis >= silenceMillis;
     boolean steppedBack = now < receivedMillis;
     checkedMillis = now;
@@ -69,7 +69,7 @@
    * @param now milliseconds
    * @return milliseconds
    */
-  public long silentMillis(long now) {
+  public long millisSinceReceived(long now) {
     return Math.max(0, now - receivedMillis);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/membership/PeerEvent.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/PeerEvent.java
@@ -1,6 +1,6 @@
 package org.hornbeamusher.membership;
 
-import org.hornbeamusher.ids.Incarnation;
+import org.hornbeamusher.ids.ProcessIncarnation;
 
 /** What a change in {@link PeerTable} means for its owner. */
 public sealed interface PeerEvent {
@@ -25,7 +25,7 @@
    * @param address the peer
    * @param incarnation the process that takes it
    */
-  record Joined(String address, Incarnation incarnation) implements PeerEvent {}
+  record Joined(String address, ProcessIncarnation incarnation) implements PeerEvent {}
 
   /**
    * Send nothing new; what it runs goes on.
@@ -33,7 +33,7 @@
    * @param address the peer
    * @param incarnation the process that is leaving
    */
-  record Leaving(String address, Incarnation incarnation) implements PeerEvent {}
+  record Leaving(String address, ProcessIncarnation incarnation) implements PeerEvent {}
 
   /**
    * The process is gone or cannot be heard; settle its attempts.
@@ -41,5 +41,5 @@
    * @param address the peer
    * @param incarnation the process that is lost
    */
-  record Lost(String address, Incarnation incarnation) implements PeerEvent {}
+  record Lost(String address, ProcessIncarnation incarnation) implements PeerEvent {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/membership/ListedPeer.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/PeerListEntry.java
@@ -7,4 +7,4 @@
  * @param instance the platform's id of the instance; a replacement at the same address has another
  * @param leaving whether the platform says that it is going away
  */
-public record ListedPeer(String address, String instance, boolean leaving) {}
+public record PeerListEntry(String address, String instance, boolean leaving) {}
--- a/runtime/src/main/java/org/hornbeamusher/membership/PeerTable.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/PeerTable.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import org.hornbeamusher.ids.Incarnation;
+import org.hornbeamusher.ids.ProcessIncarnation;
 
 /**
  * What one process knows about its peers, from two sources that disagree now and then.
@@ -45,10 +45,10 @@
    * @param list the whole list as it was read
    * @return what follows from it
    */
-  public List<PeerEvent> listed(Collection<ListedPeer> list) {
-    Map<String, ListedPeer> byAddress =
+  public List<PeerEvent> updateFromList(Collection<PeerListEntry> list) {
+    Map<String, PeerListEntry> byAddress =
         list.stream()
-            .collect(Collectors.toMap(ListedPeer::address, line -> line, PeerTable::later));
+            .collect(Collectors.toMap(PeerListEntry::address, line -> line, PeerTable::later));
     List<PeerEvent> events = new ArrayList<>();
     byAddress.values().forEach(line -> peer(line.address()).listed = Optional.of(line));
     peers.forEach(
@@ -71,8 +71,8 @@
    * @param incarnation the process behind the connection
    * @return what follows from it; empty when a later connection has been introduced before
    */
-  public List<PeerEvent> introduced(
-      String address, long connection, String instance, Incarnation incarnation) {
+  public List<PeerEvent> helloReceived(
+      String address, long connection, String instance, ProcessIncarnation incarnation) {
     Peer peer = peer(address);
     if (peer.process != null && peer.process.connection > connection) {
       return List.of();
@@ -99,7 +99,7 @@
    * @param incarnation the process behind the connection on which it was said
    * @return what follows from it; empty when another process is there now
    */
-  public List<PeerEvent> leaving(String address, Incarnation incarnation) {
+  public List<PeerEvent> leavingReceived(String address, ProcessIncarnation incarnation) {
     Peer peer = peers.get(address);
     if (peer == null || !peer.isRunBy(incarnation)) {
       return List.of();
@@ -140,7 +140,7 @@
    *
    * @return addresses of peers that introduced themselves and are not leaving
    */
-  public Set<String> takingWork() {
+  public Set<String> availablePeers() {
     return peers.entrySet().stream()
         .filter(entry -> entry.getValue().takesWork())
         .map(Map.Entry::getKey)
@@ -186,16 +186,16 @@
   }
 
   /** A list that shows two instances at one address is in the middle of a replacement. */
-  private static ListedPeer later(ListedPeer one, ListedPeer other) {
+  private static PeerListEntry later(PeerListEntry one, PeerListEntry other) {
     return one.leaving() ? other : one;
   }
 
   private static final class Peer {
 
-    private Optional<ListedPeer> listed = Optional.empty();
+    private Optional<PeerListEntry> listed = Optional.empty();
 
     /** The process that was leaving when it was last heard of; it may connect once more. */
-    private Optional<Incarnation> departed = Optional.empty();
+    private Optional<ProcessIncarnation> departed = Optional.empty();
 
     /** Its instance; the list shows it for a while yet. */
     private Optional<String> departedInstance = Optional.empty();
@@ -212,7 +212,7 @@
       process = null;
     }
 
-    private boolean isRunBy(Incarnation incarnation) {
+    private boolean isRunBy(ProcessIncarnation incarnation) {
       return process != null && process.incarnation.equals(incarnation);
     }
 
@@ -229,7 +229,7 @@
 
     private final long connection;
     private final String instance;
-    private final Incarnation incarnation;
+    private final ProcessIncarnation incarnation;
     private boolean leaving;
     private boolean announced;
     private boolean leavingAnnounced;
@@ -237,7 +237,7 @@
     Process(
         long connection,
         String instance,
-        Incarnation incarnation,
+        ProcessIncarnation incarnation,
         boolean leaving,
         boolean announced) {
       this.connection = connection;
--- a/runtime/src/main/java/org/hornbeamusher/membership/PeerCount.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/RecentMaximumPeerCount.java
@@ -12,7 +12,7 @@
  *
  * <p>Not safe for use by several threads at once.
  */
-public final class PeerCount {
+public final class RecentMaximumPeerCount {
 
   private final long windowMillis;
 
@@ -24,7 +24,7 @@
    *
    * @param windowMillis for how long before the last count a larger one holds
    */
-  public PeerCount(long windowMillis) {
+  public RecentMaximumPeerCount(long windowMillis) {
     this.windowMillis = windowMillis;
   }
 
@@ -34,7 +34,7 @@
    * @param peers how many were seen
    * @param now milliseconds
    */
-  public void counted(int peers, long now) {
+  public void record(int peers, long now) {
     while (!counts.isEmpty() && counts.peekLast().peers <= peers) {
       counts.removeLast();
     }
@@ -49,7 +49,7 @@
    *
    * @return empty before the first count
    */
-  public OptionalInt most() {
+  public OptionalInt maximum() {
     return counts.isEmpty() ? OptionalInt.empty() : OptionalInt.of(counts.peekFirst().peers);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/metrics/ServiceMetrics.java
+++ b/runtime/src/main/java/org/hornbeamusher/metrics/ServiceMetrics.java
@@ -52,7 +52,7 @@
    * @param firstTokenMillis from its arrival to its first token
    * @param totalMillis from its arrival to its end
    */
-  public void answered(
+  public void recordResponse(
       ServiceName service, long loadStallMillis, long firstTokenMillis, long totalMillis) {
     Service metrics = of(service);
     metrics.answered.mark();
@@ -67,7 +67,7 @@
    * @param service the service
    * @param type why
    */
-  public void refused(ServiceName service, FailureType type) {
+  public void recordRefusal(ServiceName service, FailureType type) {
     counterOf(service, type).inc();
   }
 
@@ -79,7 +79,7 @@
    * @param running requests in the batch
    * @param limit most requests the endpoint runs at once
    */
-  public void batch(ServiceName service, int running, int limit) {
+  public void recordBatchSample(ServiceName service, int running, int limit) {
     Service metrics = of(service);
     metrics.running.inc(running);
     metrics.places.inc(limit);
@@ -114,7 +114,7 @@
    * @param service the service
    * @return since the process started
    */
-  public long answeredCount(ServiceName service) {
+  public long responseCount(ServiceName service) {
     return of(service).answered.getCount();
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/operator/DocumentCalls.java
+++ b/runtime/src/main/java/org/hornbeamusher/operator/DocumentCalls.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Deque;
 import java.util.concurrent.CompletableFuture;
-import org.hornbeamusher.documents.DocumentReading;
+import org.hornbeamusher.documents.DocumentParseResult;
 import org.hornbeamusher.documents.DocumentStore;
 import org.hornbeamusher.documents.Principal;
 import org.hornbeamusher.documents.RefusedAttempt;
@@ -57,7 +57,7 @@
   private static CompletableFuture<String> submitted(
       DocumentStore store, ServiceName service, String text, long base, Identity.Operator author) {
     String file = service.value();
-    if (ServiceDocumentReader.read(file, text) instanceof DocumentReading.Valid valid
+    if (ServiceDocumentReader.read(file, text) instanceof DocumentParseResult.Valid valid
         && !valid.document().service().equals(service)) {
       return CompletableFuture.failedFuture(
           HornbeamusherException.notRun(
@@ -113,7 +113,7 @@
     OperatorApi.whenDone(
         exchange,
         store(exchange)
-            .show(service(exchange), principal(operator))
+            .readForOperator(service(exchange), principal(operator))
             .thenApply(stored -> node(stored).toString()));
   }
 
@@ -138,7 +138,7 @@
     OperatorApi.whenDone(
         exchange,
         store(exchange)
-            .attempts(service(exchange), principal(operator), after, limit)
+            .refusedAttempts(service(exchange), principal(operator), after, limit)
             .thenApply(
                 attempts -> {
                   ArrayNode list = JSON.createArrayNode();
@@ -163,7 +163,7 @@
         .put("service", attempt.service().value())
         .put("partner", attempt.author().partner().value())
         .put("team", attempt.author().team().value())
-        .put("tried_ms", attempt.triedMillis());
+        .put("tried_ms", attempt.attemptedMillis());
   }
 
   private DocumentStore store(HttpServerExchange exchange) {
--- a/runtime/src/main/java/org/hornbeamusher/pacing/LocalPacer.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/LocalPacer.java
@@ -40,7 +40,7 @@
    * @param now milliseconds
    * @return whether to load now, or when to try again
    */
-  public PaceDecision turn(int agents, long now) {
+  public PaceDecision tryAcquire(int agents, long now) {
     long roundMillis = Math.max(1, agents) * intervalMillis;
     if (nextMillis == NOT_STARTED) {
       nextMillis = now + random.nextLong(roundMillis);
@@ -51,11 +51,11 @@
       return new PaceDecision.Wait(nextMillis);
     }
     nextMillis = now + roundMillis / 2 + random.nextLong(roundMillis + 1);
-    return new PaceDecision.Go();
+    return new PaceDecision.Proceed();
   }
 
   /** Forgets the scheduled load, because the holder is reachable again. */
-  public void rest() {
+  public void reset() {
     nextMillis = NOT_STARTED;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PaceDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PaceDecision.java
@@ -4,7 +4,7 @@
 public sealed interface PaceDecision {
 
   /** The agent may load one adapter now. */
-  record Go() implements PaceDecision {}
+  record Proceed() implements PaceDecision {}
 
   /**
    * The agent must not start a load yet.
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitLedger.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitAllocator.java
@@ -29,7 +29,7 @@
  * permits and learns the demand within a second, as agents repeat their requests. Until then, or
  * while two agents each act as holder, a few loads overlap; that costs speed only, so no lease
  * guards the state, and permits work while the table is unavailable. The permit of a crashed agent
- * expires; that of an agent known to be gone ends at once ({@link #lost}).
+ * expires; that of an agent known to be gone ends at once ({@link #removeAgent}).
  *
  * <p>Reaction time: a new demand is served by the next permit, after at most half a second if its
  * partner is entitled. The allocation cannot oscillate, as the only state is the charges of the
@@ -40,7 +40,7 @@
  * a row in the table, which costs two writes per load and stops all loads while the table is
  * unavailable.
  */
-public final class PermitLedger {
+public final class PermitAllocator {
 
   private static final double AGEING_MILLIS = 5_000;
 
@@ -66,7 +66,7 @@
    *
    * @param settings the settings of the store
    */
-  public PermitLedger(PermitSettings settings) {
+  public PermitAllocator(PermitSettings settings) {
     this.settings = settings;
     this.partnerFairShares = new PartnerFairShares(settings.partnerShares());
   }
@@ -83,9 +83,9 @@
    * @param demand weighted waiting demand; 0 or less withdraws the request and returns a permit
    * @param now milliseconds
    */
-  public void ask(EndpointId agent, PartnerId partner, double demand, long now) {
+  public void request(EndpointId agent, PartnerId partner, double demand, long now) {
     if (!(demand > 0)) {
-      lost(agent);
+      removeAgent(agent);
       return;
     }
     PermitDecision.Grant current = outstanding.get(agent);
@@ -105,9 +105,9 @@
    * @param agent the agent that holds it
    * @param grant the number of the grant; ignored if it is not the agent's current one
    */
-  public void done(EndpointId agent, long grant) {
+  public void release(EndpointId agent, long grant) {
     PermitDecision.Grant current = outstanding.get(agent);
-    if (current != null && current.grant() == grant) {
+    if (current != null && current.grantId() == grant) {
       outstanding.remove(agent);
     }
   }
@@ -117,7 +117,7 @@
    *
    * @param agent the agent
    */
-  public void lost(EndpointId agent) {
+  public void removeAgent(EndpointId agent) {
     requests.remove(agent);
     outstanding.remove(agent);
   }
@@ -134,14 +134,14 @@
         .values()
         .removeIf(request -> request.lastMillis + settings.requestExpiryMillis() <= now);
     if (requests.isEmpty()) {
-      return new PermitDecision.Hold(Long.MAX_VALUE);
+      return new PermitDecision.Wait(Long.MAX_VALUE);
     }
     if (outstanding.size() >= settings.maxConcurrentLoads()) {
-      return new PermitDecision.Hold(firstExpiry());
+      return new PermitDecision.Wait(firstExpiry());
     }
     long nextGrantMillis = nextGrantMillis(now);
     if (now < nextGrantMillis) {
-      return new PermitDecision.Hold(nextGrantMillis);
+      return new PermitDecision.Wait(nextGrantMillis);
     }
     return grant(chooseAgent(now).orElseThrow(), now);
   }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitDecision.java
@@ -9,10 +9,10 @@
    * Grants an agent the permit to load one adapter now.
    *
    * @param agent the agent
-   * @param grant number that distinguishes this permit from earlier ones of the same agent
+   * @param grantId number that distinguishes this permit from earlier ones of the same agent
    * @param expiresMillis when the permit expires if the agent does not release it
    */
-  record Grant(EndpointId agent, long grant, long expiresMillis) implements PermitDecision {}
+  record Grant(EndpointId agent, long grantId, long expiresMillis) implements PermitDecision {}
 
   /**
    * No agent may load now.
@@ -20,5 +20,5 @@
    * @param untilMillis when to poll again if no event occurs before; {@link Long#MAX_VALUE} if only
    *     a permit request can change the decision
    */
-  record Hold(long untilMillis) implements PermitDecision {}
+  record Wait(long untilMillis) implements PermitDecision {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitHolderChoice.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitHolderChoice.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.Optional;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.routing.Rendezvous;
+import org.hornbeamusher.routing.RendezvousHash;
 
 /**
  * Determines the agent that holds the load permits of a weight store, by rendezvous hashing.
@@ -27,13 +27,13 @@
    * @return the holder, or empty if no agent is live
    */
   public static Optional<EndpointId> holder(String store, Collection<EndpointId> live) {
-    long key = Rendezvous.hash(store);
+    long key = RendezvousHash.hash(store);
     Comparator<EndpointId> byWeight =
         (one, other) -> Long.compareUnsigned(weight(key, one), weight(key, other));
     return live.stream().max(byWeight.thenComparing(Comparator.naturalOrder()));
   }
 
   private static long weight(long key, EndpointId agent) {
-    return Rendezvous.weight(key, Rendezvous.hash(agent.value()));
+    return RendezvousHash.weight(key, RendezvousHash.hash(agent.value()));
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitSourceChoice.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitSourceChoice.java
@@ -47,17 +47,17 @@
     Optional<EndpointId> holder = PermitHolderChoice.holder(store, live);
     if (holder.isEmpty() || holder.get().equals(self)) {
       unreachableSince = NEVER;
-      return new PermitSource.OwnLedger();
+      return new PermitSource.OwnAllocator();
     }
     if (reachable.contains(holder.get())) {
       unreachableSince = NEVER;
-      return new PermitSource.Holder(holder.get());
+      return new PermitSource.RemoteHolder(holder.get());
     }
     if (unreachableSince == NEVER || now < unreachableSince) {
       unreachableSince = now;
     }
     return now - unreachableSince < UNREACHABLE_GRACE_MILLIS
-        ? new PermitSource.Holder(holder.get())
-        : new PermitSource.Local();
+        ? new PermitSource.RemoteHolder(holder.get())
+        : new PermitSource.SelfPaced();
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/package-info.java
@@ -3,7 +3,7 @@
  * access or threads.
  *
  * <p>One agent of a store, determined by {@link org.hornbeamusher.pacing.PermitHolderChoice}, runs
- * the {@link org.hornbeamusher.pacing.PermitLedger}; an agent that cannot reach it uses its own
+ * the {@link org.hornbeamusher.pacing.PermitAllocator}; an agent that cannot reach it uses its own
  * {@link org.hornbeamusher.pacing.LocalPacer}.
  */
 package org.hornbeamusher.pacing;
--- a/runtime/src/main/java/org/hornbeamusher/placement/EndpointView.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/EndpointView.java
@@ -7,14 +7,14 @@
 import java.util.Set;
 import org.hornbeamusher.availability.EndpointAvailability;
 import org.hornbeamusher.availability.SendDecision;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.directory.Endpoint;
-import org.hornbeamusher.directory.HeldAdapter;
 import org.hornbeamusher.holdings.LoadCosts;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
-import org.hornbeamusher.ratelimit.EndpointLimit;
+import org.hornbeamusher.ids.EndpointIncarnation;
+import org.hornbeamusher.ratelimit.EndpointRateLimit;
 import org.hornbeamusher.routes.AdapterKey;
-import org.hornbeamusher.routing.Rendezvous;
+import org.hornbeamusher.routing.RendezvousHash;
 
 /**
  * This entry's local state of one incarnation of an endpoint: the adapters in its memory, as
@@ -37,7 +37,7 @@
 
   private final PrefixCacheEstimate prefixes;
   private final EndpointHealth health = new EndpointHealth();
-  private final EndpointLimit limit = new EndpointLimit();
+  private final EndpointRateLimit limit = new EndpointRateLimit();
   private final EndpointAvailability availability;
   private final long hash;
 
@@ -61,8 +61,8 @@
   /** As reported by the agent; defaults before the first report and without an agent. */
   private LoadCosts costs;
 
-  private Set<HeldAdapter> residentAdapters;
-  private Set<HeldAdapter> loadingAdapters = Set.of();
+  private Set<AdapterVersion> residentAdapters;
+  private Set<AdapterVersion> loadingAdapters = Set.of();
   private int othersRunning;
   private long othersPromptTokens;
 
@@ -72,7 +72,7 @@
   /**
    * Adapters that this entry requested, and when; each may take a slot that no report counts yet.
    */
-  private final Map<HeldAdapter, Long> requestedAdapters = new HashMap<>();
+  private final Map<AdapterVersion, Long> requestedAdapters = new HashMap<>();
 
   private int ownRunning;
   private long ownPromptTokens;
@@ -89,9 +89,9 @@
       Endpoint endpoint, long memoryTokens, int adapterSlots, EndpointAvailability availability) {
     this.endpoint = endpoint;
     this.availability = availability;
-    this.costs = LoadCosts.prior(adapterSlots);
-    this.residentAdapters = endpoint.held();
-    this.hash = Rendezvous.hash(endpoint.id().value());
+    this.costs = LoadCosts.initialEstimate(adapterSlots);
+    this.residentAdapters = endpoint.residentAdapters();
+    this.hash = RendezvousHash.hash(endpoint.id().value());
     this.prefixes = new PrefixCacheEstimate((long) (memoryTokens * PREFIX_MEMORY_FRACTION));
   }
 
@@ -101,11 +101,11 @@
    * @param listed the same incarnation of the endpoint
    * @param now milliseconds
    */
-  public void listed(Endpoint listed, long now) {
+  public void updateFromList(Endpoint listed, long now) {
     endpoint = listed;
     warmUpEndMillis = now + listed.coldMillis();
     if (!agentConnected) {
-      replaceResidentAdapters(listed.held());
+      replaceResidentAdapters(listed.residentAdapters());
     }
   }
 
@@ -116,7 +116,8 @@
    * @param loading adapters that are being loaded
    * @param leavingNow whether it accepts no new work; this is final for the incarnation
    */
-  public void reported(Set<HeldAdapter> resident, Set<HeldAdapter> loading, boolean leavingNow) {
+  public void updateFromAgent(
+      Set<AdapterVersion> resident, Set<AdapterVersion> loading, boolean leavingNow) {
     agentConnected = true;
     ended = false;
     leaving |= leavingNow;
@@ -151,7 +152,7 @@
    * list still contains this one for some seconds, in which every request sent here would be
    * refused and every wait for a load would time out.
    */
-  public void endedByAgent() {
+  public void markEndedByAgent() {
     ended = true;
     loadingAdapters = Set.of();
   }
@@ -168,10 +169,10 @@
     othersPromptTokens = 0;
   }
 
-  private void replaceResidentAdapters(Set<HeldAdapter> current) {
-    Set<HeldAdapter> removedAdapters = new HashSet<>(residentAdapters);
+  private void replaceResidentAdapters(Set<AdapterVersion> current) {
+    Set<AdapterVersion> removedAdapters = new HashSet<>(residentAdapters);
     removedAdapters.removeAll(current);
-    for (HeldAdapter adapter : removedAdapters) {
+    for (AdapterVersion adapter : removedAdapters) {
       evicted.remove(adapter.key());
       evicted.put(adapter.key(), adapter.version());
     }
@@ -187,13 +188,13 @@
    * @param request the request
    * @param now milliseconds
    */
-  public void started(PlacementRequest request, long now) {
+  public void requestStarted(PlacementRequest request, long now) {
     ownRunning++;
     ownPromptTokens += uncachedTokens(request);
     request.adapter().ifPresent(adapter -> prefixes.recordSent(adapter.key(), request.parts()));
     request
         .adapter()
-        .filter(adapter -> !holds(adapter) && !awaits(adapter))
+        .filter(adapter -> !isResident(adapter) && !isLoading(adapter))
         .ifPresent(adapter -> requestedAdapters.put(adapter, now));
   }
 
@@ -202,12 +203,12 @@
    *
    * @param tokens the value of {@link #uncachedTokens} when the request was started
    */
-  public void promptRead(long tokens) {
+  public void promptProcessed(long tokens) {
     ownPromptTokens = Math.max(0, ownPromptTokens - tokens);
   }
 
   /** Stops counting a request, which has ended. */
-  public void ended() {
+  public void requestEnded() {
     ownRunning = Math.max(0, ownRunning - 1);
   }
 
@@ -227,7 +228,7 @@
    * @param promptTokensPerMilli prompt processing speed by the engine's data sheet
    * @param takenMillis from sending the request until the event
    */
-  public void promptTook(long tokens, double promptTokensPerMilli, long takenMillis) {
+  public void recordFirstEventTime(long tokens, double promptTokensPerMilli, long takenMillis) {
     health.recordPromptTime(tokens / promptTokensPerMilli, takenMillis);
   }
 
@@ -236,7 +237,7 @@
    *
    * @param takenMillis from sending the request until the end of the response
    */
-  public void ran(long takenMillis) {
+  public void runCompleted(long takenMillis) {
     health.recordRun(takenMillis);
   }
 
@@ -294,8 +295,8 @@
    *
    * @return the endpoint's incarnation
    */
-  public EndpointLife life() {
-    return endpoint.life();
+  public EndpointIncarnation incarnation() {
+    return endpoint.incarnation();
   }
 
   /**
@@ -322,14 +323,14 @@
    * @param adapter adapter and version
    * @return whether it is in memory; for a base model, whether that model is, in any version
    */
-  public boolean holds(HeldAdapter adapter) {
+  public boolean isResident(AdapterVersion adapter) {
     return adapter.key().isBase()
-        ? holdsModel(adapter.key().model())
+        ? hasModel(adapter.key().model())
         : residentAdapters.contains(adapter);
   }
 
   /** Marks the endpoint as removed. */
-  public void removed() {
+  public void markRemoved() {
     removed = true;
   }
 
@@ -372,7 +373,7 @@
    * @param adapter adapter and version
    * @return whether the agent has reported that its load is ordered
    */
-  public boolean awaits(HeldAdapter adapter) {
+  public boolean isLoading(AdapterVersion adapter) {
     return loadingAdapters.contains(adapter);
   }
 
@@ -383,12 +384,12 @@
    * @param model the model's name
    * @return whether the model or one of its adapters was reported there
    */
-  public boolean holdsModel(String model) {
+  public boolean hasModel(String model) {
     return residentAdapters.stream().anyMatch(one -> one.key().model().equals(model));
   }
 
   /** Returns whether the engine probably still caches a copy of an adapter that it has evicted. */
-  boolean hasCopy(HeldAdapter adapter) {
+  boolean hasCopy(AdapterVersion adapter) {
     Long version = evicted.get(adapter.key());
     if (version == null || version != adapter.version()) {
       return false;
@@ -400,7 +401,7 @@
         break;
       }
     }
-    return laterEvictions < costs.copies();
+    return laterEvictions < costs.cachedAdapters();
   }
 
   LoadCosts costs() {
@@ -424,7 +425,7 @@
    * @param now milliseconds
    * @return whether more adapters wait for slots than there are free slots
    */
-  public boolean crowded(long now) {
+  public boolean lacksAdapterSlots(long now) {
     return freeAdapterSlots(now) < 0;
   }
 
@@ -442,7 +443,7 @@
    *
    * @return tokens of this entry's requests and those that the agent reported of other entries
    */
-  public long unreadTokens() {
+  public long pendingPromptTokens() {
     return ownPromptTokens + othersPromptTokens;
   }
 
@@ -451,7 +452,7 @@
    *
    * @return the limit stated in its responses to this entry
    */
-  public EndpointLimit limit() {
+  public EndpointRateLimit limit() {
     return limit;
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/placement/Placement.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/Placement.java
@@ -7,21 +7,21 @@
    * The request is assigned to an endpoint.
    *
    * @param endpoint the endpoint
-   * @param present whether the request can start there now; otherwise its adapter must be loaded
-   *     first
+   * @param canStartNow whether the request can start there now; otherwise its adapter must be
+   *     loaded first
    * @param estimateMillis estimated time until its first event
    * @param stallMillis the part of the estimate that is spent loading the adapter
-   * @param placeFree whether a load could begin now: the base model is in memory and an adapter
+   * @param canLoadNow whether a load could begin now: the base model is in memory and an adapter
    *     slot is free
    * @param rateWaitMillis the part of the estimate that is spent waiting for a permit, if the
    *     endpoint has a rate limit and it is used up
    */
-  record At(
+  record Assigned(
       EndpointView endpoint,
-      boolean present,
+      boolean canStartNow,
       long estimateMillis,
       long stallMillis,
-      boolean placeFree,
+      boolean canLoadNow,
       long rateWaitMillis)
       implements Placement {
 
@@ -39,8 +39,8 @@
      * @return true when it could start here at once, or when the other load is overdue and a load
      *     could begin here at once
      */
-    public boolean worthLeavingFor(long waitedMillis) {
-      return present || (waitedMillis >= OVERDUE_LOAD_MILLIS && placeFree);
+    public boolean justifiesMove(long waitedMillis) {
+      return canStartNow || (waitedMillis >= OVERDUE_LOAD_MILLIS && canLoadNow);
     }
   }
 
@@ -50,9 +50,9 @@
    * @param reason why
    * @param waitMillis until the first endpoint accepts requests again; 0 if that is not known
    */
-  record Nowhere(Reason reason, long waitMillis) implements Placement {
+  record Unplaceable(Reason reason, long waitMillis) implements Placement {
 
-    Nowhere(Reason reason) {
+    Unplaceable(Reason reason) {
       this(reason, 0);
     }
   }
--- a/runtime/src/main/java/org/hornbeamusher/placement/PlacementRequest.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/PlacementRequest.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 
 /**
  * The properties of a request that determine its placement.
@@ -16,7 +16,7 @@
  */
 public record PlacementRequest(
     long hash,
-    Optional<HeldAdapter> adapter,
+    Optional<AdapterVersion> adapter,
     int promptTokens,
     int outputTokens,
     int bytes,
--- a/runtime/src/main/java/org/hornbeamusher/placement/Placer.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/Placer.java
@@ -5,11 +5,11 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.holdings.LoadCosts;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
-import org.hornbeamusher.routing.Rendezvous;
+import org.hornbeamusher.ids.EndpointIncarnation;
+import org.hornbeamusher.routing.RendezvousHash;
 
 /**
  * Places each request at the endpoint with the lowest cost, which is mainly the expected time to
@@ -114,7 +114,7 @@
    * @return the chosen endpoint, or why there is none
    */
   public Placement place(
-      String service, PlacementRequest request, Set<EndpointLife> tried, long now) {
+      String service, PlacementRequest request, Set<EndpointIncarnation> tried, long now) {
     Collection<EndpointView> all = views.values();
     EndpointView best = null;
     Cost bestCost = null;
@@ -132,7 +132,7 @@
         continue;
       }
       accepting = true;
-      if (tried.contains(view.life())) {
+      if (tried.contains(view.incarnation())) {
         skipped = true;
         continue;
       }
@@ -143,13 +143,13 @@
       }
     }
     if (!accepting && minBackoff < Long.MAX_VALUE) {
-      return new Placement.Nowhere(Placement.Reason.ALL_BACK_OFF, minBackoff);
+      return new Placement.Unplaceable(Placement.Reason.ALL_BACK_OFF, minBackoff);
     }
     if (best == null) {
-      return new Placement.Nowhere(
+      return new Placement.Unplaceable(
           skipped ? Placement.Reason.ALL_TRIED : Placement.Reason.NO_ENDPOINT);
     }
-    return new Placement.At(
+    return new Placement.Assigned(
         best,
         bestCost.present(),
         Math.round(bestCost.latency()),
@@ -165,7 +165,7 @@
    */
   private static boolean canLoad(EndpointView view, PlacementRequest request, long now) {
     boolean modelResident =
-        request.adapter().map(adapter -> view.holdsModel(adapter.key().model())).orElse(true);
+        request.adapter().map(adapter -> view.hasModel(adapter.key().model())).orElse(true);
     return modelResident && view.freeAdapterSlots(now) > 0;
   }
 
@@ -183,19 +183,19 @@
     if (request.adapter().isEmpty()) {
       return plainCost(view, request, penalty);
     }
-    HeldAdapter adapter = request.adapter().get();
+    AdapterVersion adapter = request.adapter().get();
     double promptTime =
-        (view.unreadTokens() + view.uncachedTokens(request))
+        (view.pendingPromptTokens() + view.uncachedTokens(request))
             / settings.promptTokensPerMilli()
             * view.health().slowdown();
     double latency = promptTime + view.running() * settings.runningRequestMillis() + slotWait(view);
     penalty += delayCost(view, request);
-    if (view.holds(adapter)) {
+    if (view.isResident(adapter)) {
       return new Cost(latency, penalty, 0, true);
     }
     double stall = stall(view, adapter, now);
     double loadPenalty = penalty + preference.position(view) * settings.preferenceStepMillis();
-    if (!view.awaits(adapter) && !view.hasCopy(adapter)) {
+    if (!view.isLoading(adapter) && !view.hasCopy(adapter)) {
       loadPenalty += settings.fetchPriceMillis();
     }
     return new Cost(latency + stall, loadPenalty, stall, false);
@@ -231,8 +231,8 @@
    * @param tokens prompt tokens pending there when the request was sent, including its own
    * @param takenMillis from sending the request until the event
    */
-  public void promptTook(EndpointView view, long tokens, long takenMillis) {
-    view.promptTook(tokens, settings.promptTokensPerMilli(), takenMillis);
+  public void recordFirstEventTime(EndpointView view, long tokens, long takenMillis) {
+    view.recordFirstEventTime(tokens, settings.promptTokensPerMilli(), takenMillis);
   }
 
   private double crossZonePenalty(PlacementRequest request) {
@@ -244,27 +244,27 @@
     double each = Math.max(1, view.health().latencyMillis());
     double rounds = (double) (view.running() + 1) / Math.max(1, view.endpoint().slots());
     double latency = each + each * rounds;
-    double spread = Long.remainderUnsigned(Rendezvous.weight(request.hash(), view.hash()), 3);
+    double spread = Long.remainderUnsigned(RendezvousHash.weight(request.hash(), view.hash()), 3);
     return new Cost(latency, penalty + spread, 0, true);
   }
 
-  private double stall(EndpointView view, HeldAdapter adapter, long now) {
-    if (!view.agentConnected() || !view.holdsModel(adapter.key().model())) {
+  private double stall(EndpointView view, AdapterVersion adapter, long now) {
+    if (!view.agentConnected() || !view.hasModel(adapter.key().model())) {
       return settings.notLoadableMillis();
     }
     if (adapter.key().isBase()) {
       return 0;
     }
-    if (view.awaits(adapter)) {
+    if (view.isLoading(adapter)) {
       return settings.remainingLoadMillis();
     }
     LoadCosts costs = view.costs();
-    double load = view.hasCopy(adapter) ? costs.copyMillis() : costs.storeMillis();
+    double load = view.hasCopy(adapter) ? costs.cachedLoadMillis() : costs.storeLoadMillis();
     int queue = Math.max(0, 1 - view.freeAdapterSlots(now));
-    return load + settings.evictionMillis() + (double) queue * costs.placeMillis();
+    return load + settings.evictionMillis() + (double) queue * costs.slotWaitMillis();
   }
 
-  private PreferenceOrder preference(String service, HeldAdapter adapter) {
+  private PreferenceOrder preference(String service, AdapterVersion adapter) {
     long[] hashes = new long[views.size()];
     int count = 0;
     for (EndpointView view : views.values()) {
--- a/runtime/src/main/java/org/hornbeamusher/placement/PreferenceOrder.java
+++ b/runtime/src/main/java/org/hornbeamusher/placement/PreferenceOrder.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import org.hornbeamusher.routes.AdapterKey;
-import org.hornbeamusher.routing.Rendezvous;
+import org.hornbeamusher.routing.RendezvousHash;
 
 /**
  * The order in which the endpoints of a service are preferred for an adapter, by rendezvous
@@ -20,7 +20,7 @@
   private final long[] weights;
 
   PreferenceOrder(AdapterKey adapter, long[] hashes) {
-    key = Rendezvous.hash(adapter.toString());
+    key = RendezvousHash.hash(adapter.toString());
     weights = new long[hashes.length];
     for (int i = 0; i < hashes.length; i++) {
       weights[i] = weight(hashes[i]);
@@ -29,7 +29,7 @@
   }
 
   private long weight(long hash) {
-    return Rendezvous.weight(key, hash) ^ Long.MIN_VALUE;
+    return RendezvousHash.weight(key, hash) ^ Long.MIN_VALUE;
   }
 
   /** Returns how many endpoints are preferred to the given one. */
--- a/runtime/src/main/java/org/hornbeamusher/process/HttpListener.java
+++ b/runtime/src/main/java/org/hornbeamusher/process/HttpListener.java
@@ -32,7 +32,10 @@
             .tls()
             .map(
                 files ->
-                    ReloadingTlsContext.open(files.certificate(), files.key(), files.trusted()));
+                    ReloadingTlsContext.open(
+                        files.certificateFile(),
+                        files.privateKeyFile(),
+                        files.trustedCertificates()));
   }
 
   /**
--- a/runtime/src/main/java/org/hornbeamusher/process/MetricsListener.java
+++ b/runtime/src/main/java/org/hornbeamusher/process/MetricsListener.java
@@ -56,7 +56,7 @@
    *
    * @param loop of the process
    */
-  public void startLater(EventLoop loop) {
+  public void startDelayed(EventLoop loop) {
     loop.after(LATER_MILLIS, this::start);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/process/ProcessServices.java
+++ b/runtime/src/main/java/org/hornbeamusher/process/ProcessServices.java
@@ -8,9 +8,9 @@
 import java.util.function.IntSupplier;
 import java.util.random.RandomGenerator;
 import org.hornbeamusher.clock.Clock;
-import org.hornbeamusher.documents.DocumentHolder;
 import org.hornbeamusher.documents.DocumentStore;
 import org.hornbeamusher.documents.DocumentSync;
+import org.hornbeamusher.documents.LatestDocuments;
 import org.hornbeamusher.documents.PollPlan;
 import org.hornbeamusher.exchange.DocumentExchange;
 import org.hornbeamusher.http.HttpClient;
@@ -34,7 +34,7 @@
   private final HttpClient http = new HttpClient(IO_THREADS);
   private final Table table;
   private final InstanceList instances;
-  private final DocumentHolder documents = new DocumentHolder();
+  private final LatestDocuments documents = new LatestDocuments();
   private final DocumentStore store;
   private final DocumentSync sync;
   private final DocumentExchange exchange;
@@ -58,7 +58,7 @@
         new DocumentSync(
             documents, store, clock, PollPlan.STANDARD, pollers, RandomGenerator.getDefault());
     this.exchange = new DocumentExchange(documents, sync);
-    sync.listen(document -> exchange.announce());
+    sync.addListener(document -> exchange.announce());
   }
 
   /** Starts the HTTP client and the polling. */
@@ -123,7 +123,7 @@
    *
    * @return what this process holds
    */
-  public DocumentHolder documents() {
+  public LatestDocuments documents() {
     return documents;
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/quarantine/Quarantine.java
+++ b/runtime/src/main/java/org/hornbeamusher/quarantine/Quarantine.java
@@ -24,8 +24,8 @@
  * <p><b>Several entries.</b> Crashes are rare, so what is known of them fits into the table: one
  * row for each fingerprint that was running at a crash, with the count and the token of the entry
  * that runs it now. The entry that loses an attempt to a crash, and the agent of the endpoint, tell
- * the others at once ({@link #observed}); that is fast but may be lost. What makes the bound hold
- * is the row: a suspect ({@link QuarantineDecision.AllowAlone}) is dispatched only after a
+ * the others at once ({@link #mergeCrashCount}); that is fast but may be lost. What makes the bound
+ * hold is the row: a suspect ({@link QuarantineDecision.AllowIsolated}) is dispatched only after a
  * compare-and-set of its row from "idle" to "running", and with the table down it is refused. Two
  * entries that both know of the first crash therefore cannot run it side by side, and an entry that
  * reads the row on the way to its claim learns of the second.
@@ -80,7 +80,7 @@
     if (running.containsKey(fingerprint)) {
       return new QuarantineDecision.Refuse(FailureType.SUSPECT_RUNNING, RETRY_AFTER_RUNNING_MILLIS);
     }
-    return new QuarantineDecision.AllowAlone();
+    return new QuarantineDecision.AllowIsolated();
   }
 
   /**
@@ -89,7 +89,7 @@
    * @param fingerprint what it runs
    * @param now milliseconds
    */
-  public void started(long fingerprint, long now) {
+  public void attemptStarted(long fingerprint, long now) {
     running.merge(fingerprint, 1, Integer::sum);
   }
 
@@ -100,8 +100,8 @@
    * @param endpoint where
    * @param now milliseconds
    */
-  public void started(long fingerprint, EndpointId endpoint, long now) {
-    started(fingerprint, now);
+  public void attemptStarted(long fingerprint, EndpointId endpoint, long now) {
+    attemptStarted(fingerprint, now);
     if (current(fingerprint, now) != null) {
       suspectsAt.put(fingerprint, endpoint);
     }
@@ -124,8 +124,8 @@
    * @param now milliseconds
    * @return crashes known of this fingerprint
    */
-  public int crashed(long fingerprint, long now) {
-    ended(fingerprint, now);
+  public int endpointCrashed(long fingerprint, long now) {
+    attemptEnded(fingerprint, now);
     Suspect known = current(fingerprint, now);
     int crashes = known == null ? 1 : known.crashes() + 1;
     remember(fingerprint, crashes, now);
@@ -138,7 +138,7 @@
    * @param fingerprint what it ran
    * @param now milliseconds
    */
-  public void ended(long fingerprint, long now) {
+  public void attemptEnded(long fingerprint, long now) {
     running.computeIfPresent(fingerprint, (key, count) -> count > 1 ? count - 1 : null);
     suspectsAt.remove(fingerprint);
   }
@@ -150,7 +150,7 @@
    * @param crashes crashes known there
    * @param now milliseconds
    */
-  public void observed(long fingerprint, int crashes, long now) {
+  public void mergeCrashCount(long fingerprint, int crashes, long now) {
     Suspect known = current(fingerprint, now);
     if (crashes > 0 && (known == null || known.crashes() < crashes)) {
       remember(fingerprint, crashes, now);
--- a/runtime/src/main/java/org/hornbeamusher/quarantine/QuarantineDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/quarantine/QuarantineDecision.java
@@ -12,7 +12,7 @@
    * An endpoint crashed while it ran this request among others. It may run again, but only after
    * its row in the table has been claimed, and on no endpoint that runs another suspect.
    */
-  record AllowAlone() implements QuarantineDecision {}
+  record AllowIsolated() implements QuarantineDecision {}
 
   /**
    * The request must not run.
--- a/runtime/src/main/java/org/hornbeamusher/quarantine/Fingerprint.java
+++ b/runtime/src/main/java/org/hornbeamusher/quarantine/RequestFingerprint.java
@@ -18,9 +18,9 @@
  * fingerprints that are remembered the chance that a given other request matches one is 10,000 /
  * 2^64, and nobody can search for a match cheaply enough to have another's request refused.
  */
-public final class Fingerprint {
+public final class RequestFingerprint {
 
-  private Fingerprint() {}
+  private RequestFingerprint() {}
 
   /**
    * Computes a fingerprint.
--- a/runtime/src/main/java/org/hornbeamusher/quota/QuotaMeter.java
+++ b/runtime/src/main/java/org/hornbeamusher/quota/QuotaMeter.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.hornbeamusher.accounts.AccountName;
 import org.hornbeamusher.accounts.ClientAccount;
-import org.hornbeamusher.membership.PeerCount;
+import org.hornbeamusher.membership.RecentMaximumPeerCount;
 
 /**
  * Distributed token bucket: decides at one entry whether a request is within the quota of its
@@ -64,7 +64,8 @@
   private final Map<AccountName, Long> remoteUnits = new HashMap<>();
 
   private final Map<R, Relay> relays = new HashMap<>();
-  private final PeerCount entryCounts = new PeerCount(ENTRY_COUNT_WINDOW_MILLIS);
+  private final RecentMaximumPeerCount entryCounts =
+      new RecentMaximumPeerCount(ENTRY_COUNT_WINDOW_MILLIS);
 
   /**
    * Creates a meter without accounts.
@@ -84,7 +85,7 @@
    * @param accounts all accounts by name
    * @param now milliseconds
    */
-  public void configured(Map<AccountName, ClientAccount> accounts, long now) {
+  public void updateAccounts(Map<AccountName, ClientAccount> accounts, long now) {
     List.copyOf(buckets.keySet()).stream()
         .filter(name -> !limited(accounts.get(name)))
         .forEach(this::removeAccount);
@@ -138,8 +139,8 @@
       return new QuotaDecision.Admitted(new QuotaCharge(account, 0, now));
     }
     refill(bucket, now);
-    int entries = entries();
-    int reachable = reachable(now);
+    int entries = entryCount();
+    int reachable = reachableEntryCount(now);
     if (!bucket.mayAdmit(reachable, entries, now)) {
       return new QuotaDecision.Exceeded(
           bucket.retryAfterMillis(reachable, entries, now),
@@ -158,7 +159,7 @@
    * @param charge the charge
    * @param now milliseconds
    */
-  public void giveBack(QuotaCharge charge, long now) {
+  public void refund(QuotaCharge charge, long now) {
     QuotaBucket bucket = buckets.get(charge.account());
     if (bucket != null && charge.units() > 0) {
       bucket.refund(charge.units(), charge.chargedMillis(), now);
@@ -173,9 +174,9 @@
    * @param now milliseconds
    * @return whether it is near its limit, or much was charged here since the last update
    */
-  public boolean urgent(AccountName account, long now) {
+  public boolean reportUrgent(AccountName account, long now) {
     QuotaBucket bucket = buckets.get(account);
-    return bucket != null && bucket.reportUrgent(entries());
+    return bucket != null && bucket.reportUrgent(entryCount());
   }
 
   /**
@@ -183,7 +184,7 @@
    *
    * @param relay the relay
    */
-  public void opened(R relay) {
+  public void relayConnected(R relay) {
     relays.put(relay, new Relay(new HashMap<>(localUnits), new HashMap<>(remoteUnits)));
   }
 
@@ -192,7 +193,7 @@
    *
    * @param relay the relay
    */
-  public void closed(R relay) {
+  public void relayDisconnected(R relay) {
     relays.remove(relay);
   }
 
@@ -225,14 +226,15 @@
    * @param entries number of entries that share the quotas, as counted by the relay
    * @param now milliseconds
    */
-  public void relayed(R relay, Map<String, Long> increments, int reachable, int entries, long now) {
+  public void usageReported(
+      R relay, Map<String, Long> increments, int reachable, int entries, long now) {
     Relay from = relays.get(relay);
     if (from == null) {
       return;
     }
     from.reachable = reachable;
     from.reportedMillis = now;
-    entryCounts.counted(entries, now);
+    entryCounts.record(entries, now);
     Set<AccountName> changed = new HashSet<>();
     increments.forEach(
         (account, units) -> {
@@ -263,7 +265,7 @@
   }
 
   private void refill(QuotaBucket bucket, long now) {
-    bucket.refill(reachable(now), entries(), now);
+    bucket.refill(reachableEntryCount(now), entryCount(), now);
   }
 
   /**
@@ -271,8 +273,8 @@
    *
    * @return at least 1
    */
-  public int entries() {
-    return entryCounts.most().orElse(settings.assumedEntries());
+  public int entryCount() {
+    return entryCounts.maximum().orElse(settings.assumedEntries());
   }
 
   /**
@@ -281,8 +283,8 @@
    * @param now milliseconds
    * @return the number including this entry, so at least 1
    */
-  public int reachable(long now) {
-    long unreachableAfterMillis = settings.unreachableAfterMillis(entries());
+  public int reachableEntryCount(long now) {
+    long unreachableAfterMillis = settings.unreachableAfterMillis(entryCount());
     int max = 1;
     for (Relay relay : relays.values()) {
       if (now - relay.reportedMillis <= unreachableAfterMillis) {
--- a/runtime/src/main/java/org/hornbeamusher/quota/UsageRelay.java
+++ b/runtime/src/main/java/org/hornbeamusher/quota/UsageRelay.java
@@ -50,7 +50,7 @@
    * @param entry its connection
    * @param name the name of the entry, which stays the same over restarts
    */
-  public void opened(E entry, String name) {
+  public void entryConnected(E entry, String name) {
     lostEntries.remove(name);
     entries.put(entry, new Entry(name, new HashMap<>(totals)));
   }
@@ -60,7 +60,7 @@
    *
    * @param entry its connection
    */
-  public void left(E entry) {
+  public void entryLeaving(E entry) {
     Entry leaving = entries.get(entry);
     if (leaving != null) {
       leaving.leaving = true;
@@ -73,7 +73,7 @@
    * @param entry its connection
    * @param now milliseconds
    */
-  public void closed(E entry, long now) {
+  public void entryDisconnected(E entry, long now) {
     Entry closed = entries.remove(entry);
     if (closed == null || closed.leaving || connected(closed.name)) {
       return;
@@ -95,7 +95,7 @@
    * @param now milliseconds
    * @return the number of connected entries and of lost entries that may still serve callers
    */
-  public int size(long now) {
+  public int entryCount(long now) {
     lostEntries.values().removeIf(since -> now - since >= LOST_ENTRY_RETENTION_MILLIS);
     long connected = entries.values().stream().map(entry -> entry.name).distinct().count();
     return (int) connected + lostEntries.size();
@@ -108,7 +108,7 @@
    * @param increments units admitted since its last report, by account
    * @param now milliseconds
    */
-  public void reported(E entry, Map<String, Long> increments, long now) {
+  public void recordReport(E entry, Map<String, Long> increments, long now) {
     Entry from = entries.get(entry);
     if (from == null) {
       return;
@@ -126,9 +126,9 @@
   /**
    * Returns whether usage was reported that has not been forwarded.
    *
-   * @return whether {@link #pass} has new usage to send
+   * @return whether {@link #forwardUsage} has new usage to send
    */
-  public boolean changed() {
+  public boolean hasUnforwardedUsage() {
     return changed;
   }
 
@@ -138,8 +138,8 @@
    * @param now milliseconds
    * @return false if the entries use other relays
    */
-  public boolean used(long now) {
-    return reachable(now) > 0;
+  public boolean hasReportingEntries(long now) {
+    return reportingEntryCount(now) > 0;
   }
 
   /**
@@ -148,7 +148,7 @@
    * @param now milliseconds
    * @param send sends the increments to one entry; also called if there are none
    */
-  public void pass(long now, BiConsumer<E, Map<String, Long>> send) {
+  public void forwardUsage(long now, BiConsumer<E, Map<String, Long>> send) {
     changed = false;
     entries.forEach(
         (connection, entry) -> {
@@ -164,7 +164,7 @@
    * @param now milliseconds
    * @return the number of entries
    */
-  public int reachable(long now) {
+  public int reportingEntryCount(long now) {
     int count = 0;
     for (Entry entry : entries.values()) {
       count += entry.isReporting(now) ? 1 : 0;
--- a/runtime/src/main/java/org/hornbeamusher/ratelimit/StatedLimit.java
+++ b/runtime/src/main/java/org/hornbeamusher/ratelimit/AdvertisedRateLimit.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 
 /** The request rate limit advertised in a response of an endpoint. */
-public sealed interface StatedLimit {
+public sealed interface AdvertisedRateLimit {
 
   /**
    * The endpoint accepts a number of requests a second from all entries together.
    *
    * @param requestsPerSecond at least 0
    */
-  record PerSecond(double requestsPerSecond) implements StatedLimit {}
+  record PerSecond(double requestsPerSecond) implements AdvertisedRateLimit {}
 
   /** The response contains no limit. */
-  record None() implements StatedLimit {}
+  record None() implements AdvertisedRateLimit {}
 
   /** The response contains an invalid limit, which neither sets nor lifts one. */
-  record Unreadable() implements StatedLimit {}
+  record Unreadable() implements AdvertisedRateLimit {}
 
   /**
    * Parses a limit.
@@ -24,7 +24,7 @@
    * @param text a decimal number of requests a second; empty if the response has no limit
    * @return the limit
    */
-  static StatedLimit parse(Optional<String> text) {
+  static AdvertisedRateLimit parse(Optional<String> text) {
     if (text.isEmpty()) {
       return new None();
     }
--- a/runtime/src/main/java/org/hornbeamusher/ratelimit/EndpointLimit.java
+++ b/runtime/src/main/java/org/hornbeamusher/ratelimit/EndpointRateLimit.java
@@ -9,7 +9,7 @@
  * request was sent after the last response with a limit had arrived; otherwise it may have been
  * written before the limit.
  */
-public final class EndpointLimit {
+public final class EndpointRateLimit {
 
   private OptionalDouble requestsPerSecond = OptionalDouble.empty();
   private long advertisedMillis = Long.MIN_VALUE;
@@ -24,19 +24,20 @@
    * @param now current time in milliseconds
    * @return whether the current limit has changed
    */
-  public boolean answered(StatedLimit advertised, boolean succeeded, long sentMillis, long now) {
+  public boolean recordResponse(
+      AdvertisedRateLimit advertised, boolean succeeded, long sentMillis, long now) {
     OptionalDouble before = requestsPerSecond;
     switch (advertised) {
-      case StatedLimit.PerSecond limit -> {
+      case AdvertisedRateLimit.PerSecond limit -> {
         requestsPerSecond = OptionalDouble.of(limit.requestsPerSecond());
         advertisedMillis = now;
       }
-      case StatedLimit.None none -> {
+      case AdvertisedRateLimit.None none -> {
         if (succeeded && sentMillis >= advertisedMillis) {
           requestsPerSecond = OptionalDouble.empty();
         }
       }
-      case StatedLimit.Unreadable unreadable -> {
+      case AdvertisedRateLimit.Unreadable unreadable -> {
         // Keeps the current limit.
       }
     }
@@ -77,7 +78,7 @@
    *
    * @return milliseconds; undefined if there is no limit
    */
-  public long statedMillis() {
+  public long advertisedMillis() {
     return advertisedMillis;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/ratelimit/EvenShareLimiter.java
+++ b/runtime/src/main/java/org/hornbeamusher/ratelimit/EvenShareLimiter.java
@@ -33,7 +33,8 @@
    * @param now current time in milliseconds
    * @return whether it may be sent
    */
-  public PermitDecision tryAcquire(double perSecond, int entries, long maxWaitMillis, long now) {
+  public RatePermitDecision tryAcquire(
+      double perSecond, int entries, long maxWaitMillis, long now) {
     double rate = Math.max(RatePermits.MIN_REQUESTS_PER_SECOND, perSecond);
     double interval = MILLIS_PER_SECOND * Math.max(1, entries) / rate;
     // Starting half an interval after the last permit skips the point already used, also when the
@@ -42,9 +43,9 @@
     double at = (Math.ceil(from / interval - phase) + phase) * interval;
     long wait = Math.max(0, (long) Math.ceil(at - now));
     if (wait > maxWaitMillis) {
-      return new PermitDecision.Refused(wait);
+      return new RatePermitDecision.Refused(wait);
     }
     lastMillis = at;
-    return new PermitDecision.Granted(wait);
+    return new RatePermitDecision.Granted(wait);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/ratelimit/RatePermits.java
+++ b/runtime/src/main/java/org/hornbeamusher/ratelimit/RatePermits.java
@@ -46,7 +46,7 @@
    * @param now current time in milliseconds
    * @return the decision
    */
-  public PermitDecision permit(
+  public RatePermitDecision tryAcquire(
       EndpointId endpoint, double perSecond, long advertisedMillis, long maxWaitMillis, long now) {
     EndpointState state = endpointState(endpoint, now);
     if (advertisedMillis > state.advertisedMillis) {
@@ -54,7 +54,7 @@
       state.perSecond = perSecond;
     }
     if (state.liftedMillis > state.advertisedMillis) {
-      return new PermitDecision.Granted(0);
+      return new RatePermitDecision.Granted(0);
     }
     double rate = Math.max(MIN_REQUESTS_PER_SECOND, state.perSecond);
     return state.pacer.tryAcquire(rate, maxWaitMillis, now);
@@ -67,7 +67,7 @@
    * @param sentMillis when the request whose response had no limit was sent
    * @param now current time in milliseconds
    */
-  public void lifted(EndpointId endpoint, long sentMillis, long now) {
+  public void limitLifted(EndpointId endpoint, long sentMillis, long now) {
     EndpointState state = endpointState(endpoint, now);
     state.liftedMillis = Math.max(state.liftedMillis, sentMillis);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ratelimit/RequestPacer.java
+++ b/runtime/src/main/java/org/hornbeamusher/ratelimit/RequestPacer.java
@@ -23,14 +23,14 @@
    * @param now current time in milliseconds
    * @return the decision
    */
-  PermitDecision tryAcquire(double perSecond, long maxWaitMillis, long now) {
+  RatePermitDecision tryAcquire(double perSecond, long maxWaitMillis, long now) {
     double interval = MILLIS_PER_SECOND / perSecond;
     double ahead = (Math.max(1, perSecond) - 1) * interval;
     long wait = Math.max(0, (long) Math.ceil(nextConformingMillis - ahead - now));
     if (wait > maxWaitMillis) {
-      return new PermitDecision.Refused(wait);
+      return new RatePermitDecision.Refused(wait);
     }
     nextConformingMillis = Math.max(nextConformingMillis, now) + interval;
-    return new PermitDecision.Granted(wait);
+    return new RatePermitDecision.Granted(wait);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/answers/Delivery.java
+++ b/runtime/src/main/java/org/hornbeamusher/responses/AssemblyResult.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.answers;
+package org.hornbeamusher.responses;
 
 import java.util.List;
 
@@ -8,10 +8,10 @@
  * @param parts what the caller gets now, in order; mostly one part
  * @param state what is known of the answer afterwards
  */
-public record Delivery(List<byte[]> parts, AnswerState state) {
+public record AssemblyResult(List<byte[]> parts, ResponseState state) {
 
   /** Copies the list. */
-  public Delivery {
+  public AssemblyResult {
     parts = List.copyOf(parts);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/answers/AnswerAssembler.java
+++ b/runtime/src/main/java/org/hornbeamusher/responses/ResponseAssembler.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.answers;
+package org.hornbeamusher.responses;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -29,9 +29,9 @@
  *
  * <p>Not safe for use by several threads at once.
  */
-public final class AnswerAssembler {
+public final class ResponseAssembler {
 
-  private static final AnswerState OPEN = new AnswerState.Open();
+  private static final ResponseState OPEN = new ResponseState.Open();
   private static final long NO_CLOSING = -1;
 
   private final long attempt;
@@ -48,7 +48,7 @@
   private long keptBytes;
   private long statedCount = NO_CLOSING;
   private long statedChecksum;
-  private AnswerState state = OPEN;
+  private ResponseState state = OPEN;
 
   /**
    * Creates an assembler that has received nothing.
@@ -56,7 +56,7 @@
    * @param attempt the attempt whose frames count
    * @param maximumKeptBytes most bytes kept for parts that came too early
    */
-  public AnswerAssembler(long attempt, long maximumKeptBytes) {
+  public ResponseAssembler(long attempt, long maximumKeptBytes) {
     this.attempt = attempt;
     this.maximumKeptBytes = maximumKeptBytes;
   }
@@ -69,25 +69,25 @@
    * @param bytes the part
    * @return what may be handed on
    */
-  public Delivery part(long ofAttempt, long sequence, byte[] bytes) {
+  public AssemblyResult partReceived(long ofAttempt, long sequence, byte[] bytes) {
     if (ofAttempt != attempt || state.ended() || sequence < next) {
       return nothing();
     }
     if (statedCount != NO_CLOSING && sequence >= statedCount) {
-      return end(AnswerState.Reason.COUNT);
+      return end(ResponseState.MismatchReason.COUNT);
     }
     byte[] known = early.get(sequence);
     if (known != null) {
-      return Arrays.equals(known, bytes) ? nothing() : end(AnswerState.Reason.CONTENT);
+      return Arrays.equals(known, bytes) ? nothing() : end(ResponseState.MismatchReason.CONTENT);
     }
     early.put(sequence, bytes);
     keptBytes += bytes.length;
     List<byte[]> ready = takeReady();
     if (keptBytes > maximumKeptBytes) {
-      return end(AnswerState.Reason.OVERFLOW);
+      return end(ResponseState.MismatchReason.OVERFLOW);
     }
     settle();
-    return new Delivery(ready, state);
+    return new AssemblyResult(ready, state);
   }
 
   /**
@@ -98,14 +98,14 @@
    * @param partsChecksum CRC-32C over all parts
    * @return no parts, and whether the answer is whole
    */
-  public Delivery closing(long ofAttempt, long count, long partsChecksum) {
+  public AssemblyResult closingReceived(long ofAttempt, long count, long partsChecksum) {
     if (ofAttempt != attempt || state.ended()) {
       return nothing();
     }
     boolean repeated = statedCount == count && statedChecksum == partsChecksum;
     boolean contradicts = statedCount != NO_CLOSING && !repeated;
     if (contradicts || count < next || (!early.isEmpty() && early.lastKey() >= count)) {
-      return end(AnswerState.Reason.COUNT);
+      return end(ResponseState.MismatchReason.COUNT);
     }
     statedCount = count;
     statedChecksum = partsChecksum;
@@ -118,9 +118,9 @@
    *
    * @return the final state
    */
-  public AnswerState cut() {
+  public ResponseState connectionEnded() {
     if (!state.ended()) {
-      state = new AnswerState.Cut();
+      state = new ResponseState.Truncated();
       early.clear();
     }
     return state;
@@ -131,7 +131,7 @@
    *
    * @return the state after the latest frame
    */
-  public AnswerState state() {
+  public ResponseState state() {
     return state;
   }
 
@@ -150,18 +150,18 @@
     if (next == statedCount) {
       state =
           checksum.getValue() == statedChecksum
-              ? new AnswerState.Whole()
-              : new AnswerState.Mismatch(AnswerState.Reason.CHECKSUM);
+              ? new ResponseState.Complete()
+              : new ResponseState.Mismatch(ResponseState.MismatchReason.CHECKSUM);
     }
   }
 
-  private Delivery end(AnswerState.Reason reason) {
-    state = new AnswerState.Mismatch(reason);
+  private AssemblyResult end(ResponseState.MismatchReason reason) {
+    state = new ResponseState.Mismatch(reason);
     early.clear();
     return nothing();
   }
 
-  private Delivery nothing() {
-    return new Delivery(List.of(), state);
+  private AssemblyResult nothing() {
+    return new AssemblyResult(List.of(), state);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/answers/AnswerState.java
+++ b/runtime/src/main/java/org/hornbeamusher/responses/ResponseState.java
@@ -1,7 +1,7 @@
-package org.hornbeamusher.answers;
+package org.hornbeamusher.responses;
 
 /** What is known of an answer. */
-public sealed interface AnswerState {
+public sealed interface ResponseState {
 
   /**
    * Tells whether later frames can change anything.
@@ -13,23 +13,23 @@
   }
 
   /** More frames may come. */
-  record Open() implements AnswerState {}
+  record Open() implements ResponseState {}
 
   /** Every part was delivered, and their count and checksum are those the sender stated. */
-  record Whole() implements AnswerState {}
+  record Complete() implements ResponseState {}
 
   /** The connection or the stream ended before the answer was whole. */
-  record Cut() implements AnswerState {}
+  record Truncated() implements ResponseState {}
 
   /**
    * The parts are not what the sender stated; the answer must not be passed off as whole.
    *
    * @param reason what did not fit
    */
-  record Mismatch(Reason reason) implements AnswerState {}
+  record Mismatch(MismatchReason reason) implements ResponseState {}
 
   /** What did not fit. */
-  enum Reason {
+  enum MismatchReason {
     /** A part or closing frame contradicts the number of parts. */
     COUNT,
     /** The parts' checksum differs. */
--- a/runtime/src/main/java/org/hornbeamusher/routes/ConfigurationInForce.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/CurrentConfiguration.java
@@ -6,12 +6,12 @@
  * Holds the newest configuration that this process has seen. It never returns to an older one:
  * responses may arrive out of order, and a stale one would restore a deleted route.
  */
-public final class ConfigurationInForce {
+public final class CurrentConfiguration {
 
   private Configuration current;
 
   /** Creates a holder without a configuration. */
-  public ConfigurationInForce() {}
+  public CurrentConfiguration() {}
 
   /**
    * Replaces the current configuration by a newer one.
--- a/runtime/src/main/java/org/hornbeamusher/routes/VersionsInForce.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/LatestAdapterVersions.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** The newest known version of each adapter; it never returns to an older one. */
-public final class VersionsInForce {
+public final class LatestAdapterVersions {
 
   /** The version of adapters for which no version was received. */
   public static final long FIRST = 1;
@@ -12,7 +12,7 @@
   private final Map<AdapterKey, Long> newest = new HashMap<>();
 
   /** Creates an instance in which every adapter is at its first version. */
-  public VersionsInForce() {}
+  public LatestAdapterVersions() {}
 
   /**
    * Records a version unless the same or a newer one is known.
--- a/runtime/src/main/java/org/hornbeamusher/routes/RevocationBounds.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/RevocationBounds.java
@@ -24,7 +24,7 @@
    *
    * @return milliseconds; {@link Long#MAX_VALUE} if any age will do
    */
-  public long servedMillis() {
+  public long maxProofAgeMillis() {
     return revokeMillis.isPresent()
         ? Math.max(0, revokeMillis.getAsLong() - MARGIN_MILLIS)
         : Long.MAX_VALUE;
@@ -36,9 +36,9 @@
    *
    * @return milliseconds; {@link Long#MAX_VALUE} for never
    */
-  public long leaveMillis() {
+  public long unreadyAgeMillis() {
     return revokeMillis.isPresent()
-        ? Math.max(0, servedMillis() - LOAD_BALANCER_REACTION_MILLIS)
+        ? Math.max(0, maxProofAgeMillis() - LOAD_BALANCER_REACTION_MILLIS)
         : Long.MAX_VALUE;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/routes/Route.java
+++ b/runtime/src/main/java/org/hornbeamusher/routes/Route.java
@@ -13,9 +13,10 @@
  * @param targetLatencyMillis the time within which a response is of full value to the caller
  * @param rank priority; 0 is the most urgent
  * @param targets the services that share its requests; never empty
- * @param attempts maximum number of endpoints at which a request is tried; at least 1
+ * @param maxAttempts maximum number of endpoints at which a request is tried; at least 1
  * @param resumable whether another endpoint may continue an interrupted stream
- * @param patienceMillis how long a caller waits for the first event of a stream, or the next one
+ * @param eventTimeoutMillis how long a caller waits for the first event of a stream, or the next
+ *     one
  * @param anonymous whether its callers need no key of a client account
  */
 public record Route(
@@ -27,9 +28,9 @@
     long targetLatencyMillis,
     int rank,
     List<WeightedTarget> targets,
-    int attempts,
+    int maxAttempts,
     boolean resumable,
-    long patienceMillis,
+    long eventTimeoutMillis,
     boolean anonymous) {
 
   /** Copies the list. */
--- a/runtime/src/main/java/org/hornbeamusher/routing/AdapterHomes.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/AdapterHomes.java
@@ -46,7 +46,7 @@
     long[] weights = new long[length];
     int filled = 0;
     for (EndpointState endpoint : all) {
-      long weight = Rendezvous.weight(hash, endpoint.hash);
+      long weight = RendezvousHash.weight(hash, endpoint.hash);
       int at = filled;
       while (at > 0 && Long.compareUnsigned(weights[at - 1], weight) < 0) {
         at--;
@@ -124,7 +124,7 @@
   }
 
   private int place(EndpointState endpoint) {
-    long weight = Rendezvous.weight(hash, endpoint.hash);
+    long weight = RendezvousHash.weight(hash, endpoint.hash);
     int at = homes.size();
     while (at > 0 && Long.compareUnsigned(weight(homes.get(at - 1)), weight) < 0) {
       at--;
@@ -133,7 +133,7 @@
   }
 
   private long weight(Home home) {
-    return Rendezvous.weight(hash, home.endpoint.hash);
+    return RendezvousHash.weight(hash, home.endpoint.hash);
   }
 
   private void dropUseless(Home home) {
--- a/runtime/src/main/java/org/hornbeamusher/routing/AttemptResult.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/AttemptResult.java
@@ -11,7 +11,7 @@
    * @param loadStallMillis the part of it that waited for a load
    * @param tokens length of the answer; 0 when the endpoint does not generate tokens
    */
-  record Answered(long firstTokenMillis, long totalMillis, long loadStallMillis, int tokens)
+  record Completed(long firstTokenMillis, long totalMillis, long loadStallMillis, int tokens)
       implements AttemptResult {
 
     /**
@@ -21,7 +21,7 @@
      * @param totalMillis from dispatch to the end
      * @param loadStallMillis the part of it that waited for a load
      */
-    public Answered(long firstTokenMillis, long totalMillis, long loadStallMillis) {
+    public Completed(long firstTokenMillis, long totalMillis, long loadStallMillis) {
       this(firstTokenMillis, totalMillis, loadStallMillis, 0);
     }
   }
--- a/runtime/src/main/java/org/hornbeamusher/routing/CostEstimate.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/CostEstimate.java
@@ -1,6 +1,6 @@
 package org.hornbeamusher.routing;
 
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
 
 /**
  * What sending an attempt to one endpoint costs, in milliseconds.
@@ -39,7 +39,7 @@
   }
 
   /** What a load stall counts for, against a wait in a queue. */
-  static double stallFactor(Weights weights) {
+  static double stallFactor(CostWeights weights) {
     double sum = weights.loadStall() + weights.batchEfficiency();
     return sum <= 0 ? 1 : 1 + weights.loadStall() / sum;
   }
@@ -52,7 +52,7 @@
   /** The cost at an endpoint where the adapter is resident or needs no adapter. */
   double resident(EndpointState endpoint) {
     stallMillis = 0;
-    queueMillis = settings.spill() ? queueWait(endpoint) : 0;
+    queueMillis = settings.queueAware() ? queueWait(endpoint) : 0;
     return queueMillis + endpoint.hopMillis;
   }
 
@@ -77,6 +77,7 @@
   }
 
   private long queueWait(EndpointState endpoint) {
-    return endpoint.queueWait((long) endpoint.pool.serviceMillis, settings.ownWork() ? entries : 0);
+    return endpoint.queueWait(
+        (long) endpoint.pool.serviceMillis, settings.countOwnDispatches() ? entries : 0);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/routing/EndpointPool.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/EndpointPool.java
@@ -59,7 +59,7 @@
       if (adapters.size() >= ADAPTERS_BEFORE_SWEEP) {
         adapters.values().removeIf(homes -> homes.idle(now, IDLE_MILLIS));
       }
-      known = new AdapterHomes(Rendezvous.hash(adapter.toString()));
+      known = new AdapterHomes(RendezvousHash.hash(adapter.toString()));
       adapters.put(adapter, known);
     }
     return known;
--- a/runtime/src/main/java/org/hornbeamusher/routing/EndpointState.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/EndpointState.java
@@ -35,7 +35,7 @@
   EndpointState(EndpointId id, EndpointPool pool, long hopMillis, long loadMillis) {
     this.id = id;
     this.pool = pool;
-    this.hash = Rendezvous.hash(id.value());
+    this.hash = RendezvousHash.hash(id.value());
     this.hopMillis = hopMillis;
     this.loadWaitMillis = loadMillis;
   }
--- a/runtime/src/main/java/org/hornbeamusher/routing/Rendezvous.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/RendezvousHash.java
@@ -8,7 +8,7 @@
  * <p>Text is hashed by 64-bit FNV-1a and then spread by the finalizer of MurmurHash3 (Appleby,
  * public domain), because FNV alone leaves the high bits of short, similar names alike.
  */
-public final class Rendezvous {
+public final class RendezvousHash {
 
   private static final long FNV_OFFSET = 0xCBF29CE484222325L;
   private static final long FNV_PRIME = 0x100000001B3L;
@@ -16,7 +16,7 @@
   private static final long MIX_2 = 0xC4CEB9FE1A85EC53L;
   private static final int SHIFT = 33;
 
-  private Rendezvous() {}
+  private RendezvousHash() {}
 
   /**
    * Hashes a name; the same on every instance and in every run.
--- a/runtime/src/main/java/org/hornbeamusher/routing/RouteRequest.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/RouteRequest.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.Set;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.ids.PoolName;
@@ -21,6 +21,6 @@
     PoolName pool,
     Optional<AdapterRef> adapter,
     long prefixHash,
-    Weights weights,
+    CostWeights weights,
     Set<EndpointId> excluded,
     long remainingMillis) {}
--- a/runtime/src/main/java/org/hornbeamusher/routing/Router.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/Router.java
@@ -187,7 +187,7 @@
 
   private void weighHomes(EndpointPool pool, RouteRequest request, long now) {
     AdapterHomes homes = pool.homes(request.adapter().orElseThrow(), now);
-    EndpointState[] order = homes.order(pool, settings.candidates());
+    EndpointState[] order = homes.order(pool, settings.candidateCount());
     double demand = homes.demandPerSecond(now);
     double stallFactor = CostEstimate.stallFactor(request.weights());
     List<Home> known = homes.homes();
@@ -226,7 +226,7 @@
 
   private double prefixLoss(EndpointState endpoint, RouteRequest request) {
     boolean kept = request.prefixHash() == 0 || prefixes.cached(request.prefixHash(), endpoint);
-    return kept ? 0 : settings.prefixMillis();
+    return kept ? 0 : settings.prefixSavingMillis();
   }
 
   /**
@@ -268,12 +268,12 @@
       state.pool.homes(adapter, now).ended(state);
     }
     switch (result) {
-      case AttemptResult.Answered answered -> answered(state, answered, now);
+      case AttemptResult.Completed answered -> answered(state, answered, now);
       case AttemptResult.Failed failed -> failed(state, now);
       case AttemptResult.Refused refused -> state.speed.probing = false;
       case AttemptResult.Expired expired -> {
         state.speed.probing = false;
-        progress(id, expired.busyMillis(), expired.tokens(), now);
+        progressReported(id, expired.busyMillis(), expired.tokens(), now);
       }
       case AttemptResult.Cancelled cancelled -> state.speed.probing = false;
     }
@@ -288,7 +288,7 @@
    * @param tokens that have come since
    * @param now milliseconds
    */
-  public void progress(EndpointId id, long busyMillis, int tokens, long now) {
+  public void progressReported(EndpointId id, long busyMillis, int tokens, long now) {
     EndpointState state = endpoints.get(id);
     if (state != null && settings.ejection() && tokens > 0) {
       SlowEndpoints.observed(state, (double) busyMillis / tokens, now);
@@ -301,12 +301,12 @@
    * @param pool the pool
    * @return places in the batches of its live endpoints, by their last reports
    */
-  public int places(PoolName pool) {
+  public int batchCapacity(PoolName pool) {
     EndpointPool known = pools.get(pool);
     return known == null ? 0 : known.endpoints.stream().mapToInt(e -> e.batch).sum();
   }
 
-  private void answered(EndpointState state, AttemptResult.Answered answered, long now) {
+  private void answered(EndpointState state, AttemptResult.Completed answered, long now) {
     long busy = answered.totalMillis() - answered.firstTokenMillis();
     boolean counted = answered.tokens() > 0;
     long work = counted ? busy : answered.totalMillis() - answered.loadStallMillis();
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/AgentAction.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/AgentAction.java
@@ -41,5 +41,5 @@
    * @param demand weighted waiting demand of the adapter with the highest demand; 0 withdraws the
    *     request and returns a permit that was granted
    */
-  record AskPermit(PartnerId partner, double demand) implements AgentAction {}
+  record RequestPermit(PartnerId partner, double demand) implements AgentAction {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/AgentScheduler.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/AgentScheduler.java
@@ -278,7 +278,7 @@
    *
    * @param now milliseconds
    */
-  public void leave(long now) {
+  public void beginDrain(long now) {
     drainWindow.leave(now);
   }
 
@@ -286,7 +286,7 @@
    * Returns whether requests may still be started on the endpoint.
    *
    * @param now milliseconds
-   * @return false soon after {@link #leave}
+   * @return false soon after {@link #beginDrain}
    */
   public boolean mayStart(long now) {
     return drainWindow.open(now);
@@ -329,7 +329,7 @@
    * @param now milliseconds
    * @return the load report
    */
-  public EndpointLoad load(long now) {
+  public EndpointLoad endpointLoad(long now) {
     return new EndpointLoad(
         running.size(),
         queue.size(),
@@ -412,7 +412,7 @@
   }
 
   private boolean missesDeadline(ScheduledRequest waiting, long now) {
-    if (!settings.uses(Mechanism.EARLY_REFUSAL)) {
+    if (!settings.uses(SchedulerFeature.EARLY_REFUSAL)) {
       return waiting.request.deadlineMillis() <= now;
     }
     double load =
@@ -450,7 +450,8 @@
   }
 
   private int longRequestLimit() {
-    if (!settings.uses(Mechanism.LONG_LIMIT) || settings.batch() < MIN_BATCH_FOR_LONG_LIMIT) {
+    if (!settings.uses(SchedulerFeature.LONG_LIMIT)
+        || settings.batch() < MIN_BATCH_FOR_LONG_LIMIT) {
       return Integer.MAX_VALUE;
     }
     return settings.batch() - Math.max(1, settings.batch() / LONG_LIMIT_DIVISOR);
@@ -505,7 +506,7 @@
 
   private void drainFor(Optional<AdapterRef> newAdapter, long now) {
     boolean overdue =
-        settings.uses(Mechanism.DRAINING)
+        settings.uses(SchedulerFeature.DRAINING)
             && newAdapter.isPresent()
             && demand.waitingFor(newAdapter.get()).stream()
                 .anyMatch(one -> overtakenTooLong(one, now));
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/FairQueue.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/FairQueue.java
@@ -77,7 +77,8 @@
 
   /** Adds a request with its expected run time. */
   ScheduledRequest add(QueuedRequest request, double runMillis) {
-    double penalty = settings.uses(Mechanism.SHORT_FIRST) ? SHORT_FIRST_FACTOR * runMillis : 0;
+    double penalty =
+        settings.uses(SchedulerFeature.SHORT_FIRST) ? SHORT_FIRST_FACTOR * runMillis : 0;
     ScheduledRequest added = new ScheduledRequest(request, request.arrivedMillis() + penalty);
     ShareNode leaf = leaf(request);
     leaf.add(added);
@@ -98,7 +99,8 @@
 
   /** Chooses the request to start next; changes only the tags of classes that are skipped. */
   Optional<ScheduledRequest> next(Predicate<ScheduledRequest> startable) {
-    double guaranteedSlots = settings.uses(Mechanism.GUARANTEED_PLACES) ? settings.batch() : 0;
+    double guaranteedSlots =
+        settings.uses(SchedulerFeature.GUARANTEED_PLACES) ? settings.batch() : 0;
     return root.next(startable, guaranteedSlots);
   }
 
@@ -153,7 +155,7 @@
   }
 
   private ShareNode leaf(QueuedRequest request) {
-    if (!settings.uses(Mechanism.FAIR_SHARES)) {
+    if (!settings.uses(SchedulerFeature.FAIR_SHARES)) {
       return root.child(new ShareClass.Endpoint(), 1);
     }
     int partnerShare = settings.partnerShares().getOrDefault(request.partner(), 1);
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/LoadDemand.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/LoadDemand.java
@@ -114,7 +114,7 @@
   List<AdapterRef> order(Predicate<AdapterRef> loadable, long now) {
     List<Candidate> candidates =
         byAdapter.keySet().stream().filter(loadable).map(ref -> candidate(ref, now)).toList();
-    if (!settings.uses(Mechanism.WEIGHTED_LOADS)) {
+    if (!settings.uses(SchedulerFeature.WEIGHTED_LOADS)) {
       return candidates.stream().map(Candidate::adapter).toList();
     }
     waitingPartners = candidates.stream().map(Candidate::partner).collect(Collectors.toSet());
@@ -149,11 +149,11 @@
   }
 
   private double demand(ScheduledRequest waiting, long now) {
-    if (!settings.uses(Mechanism.WEIGHTED_LOADS)) {
+    if (!settings.uses(SchedulerFeature.WEIGHTED_LOADS)) {
       return 1;
     }
     long waited = Math.max(0, now - waiting.request.arrivedMillis());
-    double age = settings.uses(Mechanism.LOAD_AGEING) ? waited / AGEING_MILLIS : 0;
+    double age = settings.uses(SchedulerFeature.LOAD_AGEING) ? waited / AGEING_MILLIS : 0;
     DecayedCount loads = callerLoads.get(waiting.request.caller());
     double recent = loads == null ? 0 : loads.at(now);
     double callerWeight = Math.max(1, waiting.request.callerWeight());
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/LoadPermit.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/LoadPermit.java
@@ -59,7 +59,7 @@
     requestedMillis = now;
     requestedDemand = demand;
     requestedFor = partner;
-    return Optional.of(new AgentAction.AskPermit(partner, demand));
+    return Optional.of(new AgentAction.RequestPermit(partner, demand));
   }
 
   /** Returns the withdrawal to send, if needed, when no load is wanted. */
@@ -68,6 +68,6 @@
       return Optional.empty();
     }
     consume();
-    return Optional.of(new AgentAction.AskPermit(requestedFor, 0));
+    return Optional.of(new AgentAction.RequestPermit(requestedFor, 0));
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/QueueAdmission.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/QueueAdmission.java
@@ -69,7 +69,7 @@
     if (request.deadlineMillis() <= now) {
       return OptionalLong.of(0);
     }
-    if (!settings.uses(Mechanism.EARLY_REFUSAL)) {
+    if (!settings.uses(SchedulerFeature.EARLY_REFUSAL)) {
       return OptionalLong.empty();
     }
     double end =
@@ -93,7 +93,7 @@
 
   private QueueAdmissionDecision displaceOrRefuse(ShareNode top, QueuedRequest request, long now) {
     Optional<ScheduledRequest> victim =
-        settings.uses(Mechanism.DISPLACEMENT) ? victim(top, request) : Optional.empty();
+        settings.uses(SchedulerFeature.DISPLACEMENT) ? victim(top, request) : Optional.empty();
     return victim
         .<QueueAdmissionDecision>map(QueueAdmissionDecision.Displace::new)
         .orElseGet(
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/QueuedRequest.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/QueuedRequest.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.scheduling;
 
 import java.util.Optional;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.CallerId;
 import org.hornbeamusher.ids.PartnerId;
@@ -32,7 +32,7 @@
     int costTokens,
     long arrivedMillis,
     long deadlineMillis,
-    Weights weights,
+    CostWeights weights,
     int serviceShare,
     int callerWeight,
     int queueLimit) {}
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/Residency.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/Residency.java
@@ -192,7 +192,7 @@
   }
 
   private long minimumStayEndMillis(AdapterRef adapter) {
-    if (!settings.uses(Mechanism.MINIMUM_STAY)) {
+    if (!settings.uses(SchedulerFeature.MINIMUM_STAY)) {
       return Long.MIN_VALUE;
     }
     return residentSince.get(adapter) + settings.minimumStayMillis();
@@ -209,7 +209,7 @@
   private Comparator<AdapterRef> byValue(long now) {
     Comparator<AdapterRef> byLastUse =
         Comparator.comparingLong(adapter -> lastUse.getOrDefault(adapter, Long.MIN_VALUE));
-    if (!settings.uses(Mechanism.FREQUENCY_EVICTION)) {
+    if (!settings.uses(SchedulerFeature.FREQUENCY_EVICTION)) {
       return byLastUse;
     }
     return Comparator.<AdapterRef>comparingDouble(adapter -> frequencyOf(adapter, now))
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/Mechanism.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/SchedulerFeature.java
@@ -3,7 +3,7 @@
 /**
  * Features of the scheduler that can be switched off, so that the effect of each can be measured.
  */
-public enum Mechanism {
+public enum SchedulerFeature {
   /** Batch slots are assigned by weighted shares; without it in order of arrival. */
   FAIR_SHARES,
   /**
--- a/runtime/src/main/java/org/hornbeamusher/scheduling/SchedulerSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/scheduling/SchedulerSettings.java
@@ -28,7 +28,7 @@
     long loadMillis,
     boolean permitsRequired,
     Map<PartnerId, Integer> partnerShares,
-    Set<Mechanism> mechanisms) {
+    Set<SchedulerFeature> mechanisms) {
 
   /** Copies the collections. */
   public SchedulerSettings {
@@ -67,7 +67,7 @@
         loadMillis,
         permitsRequired,
         partnerShares,
-        EnumSet.allOf(Mechanism.class));
+        EnumSet.allOf(SchedulerFeature.class));
   }
 
   /**
@@ -76,8 +76,8 @@
    * @param mechanism the feature to switch off
    * @return a copy
    */
-  public SchedulerSettings without(Mechanism mechanism) {
-    EnumSet<Mechanism> rest = EnumSet.allOf(Mechanism.class);
+  public SchedulerSettings without(SchedulerFeature mechanism) {
+    EnumSet<SchedulerFeature> rest = EnumSet.allOf(SchedulerFeature.class);
     rest.retainAll(mechanisms);
     rest.remove(mechanism);
     return new SchedulerSettings(
@@ -98,7 +98,7 @@
    * @param mechanism the feature
    * @return whether it is on
    */
-  public boolean uses(Mechanism mechanism) {
+  public boolean uses(SchedulerFeature mechanism) {
     return mechanisms.contains(mechanism);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/settings/AgentSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/AgentSettings.java
@@ -19,7 +19,7 @@
  * @param endpoint the endpoint beside it
  * @param pool the pool the endpoint belongs to
  * @param endpointUri where the endpoint is reached
- * @param listen where entries reach the agent
+ * @param entryListener where entries reach the agent
  * @param http where operators read metrics and status and start a drain
  * @param platform the platform's service
  * @param operators who may read and drain
@@ -33,7 +33,7 @@
     EndpointId endpoint,
     PoolName pool,
     URI endpointUri,
-    ListenSettings listen,
+    ListenSettings entryListener,
     ListenSettings http,
     URI platform,
     List<OperatorSettings> operators,
@@ -98,7 +98,7 @@
    *
    * @return the operators
    */
-  public TokenDirectory tokens() {
+  public TokenDirectory tokenDirectory() {
     return new TokenDirectory(operators.stream().map(OperatorSettings::entry).toList());
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/settings/AgentSettingsReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/AgentSettingsReader.java
@@ -47,7 +47,7 @@
     Optional<TlsSettings> peerTls = shared.peerTls(wireTable);
     List<OperatorSettings> operators = shared.operators(top);
     SharedTables.requireDistinctTokens(top, List.of(), operators);
-    top.finish(FailureType.SETTINGS_INVALID);
+    top.throwIfProblems(FailureType.SETTINGS_INVALID);
     return new AgentSettings(
         instance,
         zone,
@@ -65,7 +65,7 @@
 
   private static CapacitySettings capacity(TomlChecker table) {
     EndpointKind kind = table.value("kind", EndpointKind::parse);
-    CapacitySettings standard = CapacitySettings.of(kind);
+    CapacitySettings standard = CapacitySettings.defaultsFor(kind);
     return new CapacitySettings(
         kind,
         table.bool("fencing", standard.fencing()),
--- a/runtime/src/main/java/org/hornbeamusher/settings/CapacitySettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/CapacitySettings.java
@@ -44,7 +44,7 @@
    * @param kind what the endpoint runs
    * @return the settings
    */
-  public static CapacitySettings of(EndpointKind kind) {
+  public static CapacitySettings defaultsFor(EndpointKind kind) {
     return new CapacitySettings(
         kind, true, Optional.empty(), Optional.empty(), 256, 22, 500, 2_000, "weights", Map.of());
   }
--- a/runtime/src/main/java/org/hornbeamusher/settings/EntrySettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/EntrySettings.java
@@ -86,7 +86,7 @@
    *
    * @return callers and operators
    */
-  public TokenDirectory tokens() {
+  public TokenDirectory tokenDirectory() {
     List<TokenDirectory.Entry> entries = new ArrayList<>();
     for (CallerSettings caller : callers) {
       Identity identity = new Identity.Caller(caller.id(), caller.partner(), caller.services());
--- a/runtime/src/main/java/org/hornbeamusher/settings/EntrySettingsReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/EntrySettingsReader.java
@@ -37,7 +37,7 @@
     List<CallerSettings> callers = shared.callers(top);
     List<OperatorSettings> operators = shared.operators(top);
     SharedTables.requireDistinctTokens(top, callers, operators);
-    top.finish(FailureType.SETTINGS_INVALID);
+    top.throwIfProblems(FailureType.SETTINGS_INVALID);
     return new EntrySettings(
         instance, zone, http, platform, callers, operators, limits, wire, peerTls);
   }
@@ -45,18 +45,18 @@
   private static LimitSettings limits(TomlChecker table) {
     LimitSettings standard = LimitSettings.DEFAULT;
     return new LimitSettings(
-        (int) table.integer("body_bytes", MIN_BYTES, MAX_BODY_BYTES, standard.bodyBytes()),
-        (int) table.integer("header_bytes", MIN_BYTES, MAX_HEADER_BYTES, standard.headerBytes()),
+        (int) table.integer("body_bytes", MIN_BYTES, MAX_BODY_BYTES, standard.maxBodyBytes()),
+        (int) table.integer("header_bytes", MIN_BYTES, MAX_HEADER_BYTES, standard.maxHeaderBytes()),
         table.integer(
             "request_ms",
             MIN_CALLER_MILLIS,
             SharedTables.MAX_INTERVAL_MILLIS,
-            standard.requestMillis()),
+            standard.requestTimeoutMillis()),
         table.integer(
             "stalled_ms",
             MIN_CALLER_MILLIS,
             SharedTables.MAX_INTERVAL_MILLIS,
-            standard.stalledMillis()),
-        (int) table.integer("in_flight", 1, MAX_IN_FLIGHT, standard.inFlight()));
+            standard.stallTimeoutMillis()),
+        (int) table.integer("in_flight", 1, MAX_IN_FLIGHT, standard.maxInFlight()));
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/settings/LimitSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/LimitSettings.java
@@ -3,14 +3,18 @@
 /**
  * Bounds on what callers may do to an entry.
  *
- * @param bodyBytes longest request body
- * @param headerBytes longest request header
- * @param requestMillis how long a caller may take to send a request
- * @param stalledMillis how long a caller may leave an answer unread
- * @param inFlight most requests at once
+ * @param maxBodyBytes longest request body
+ * @param maxHeaderBytes longest request header
+ * @param requestTimeoutMillis how long a caller may take to send a request
+ * @param stallTimeoutMillis how long a caller may leave an answer unread
+ * @param maxInFlight most requests at once
  */
 public record LimitSettings(
-    int bodyBytes, int headerBytes, long requestMillis, long stalledMillis, int inFlight) {
+    int maxBodyBytes,
+    int maxHeaderBytes,
+    long requestTimeoutMillis,
+    long stallTimeoutMillis,
+    int maxInFlight) {
 
   /**
    * A prompt of 100,000 tokens fits into 1 MiB. At the size we expect, an entry sees 7 requests a
--- a/runtime/src/main/java/org/hornbeamusher/settings/SharedTables.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/SharedTables.java
@@ -87,17 +87,19 @@
   WireSettings wire(TomlChecker wire) {
     WireSettings standard = WireSettings.DEFAULT;
     long heartbeat =
-        wire.integer("heartbeat_ms", 10, MAX_INTERVAL_MILLIS, standard.heartbeatMillis());
-    long silence = wire.integer("silence_ms", 20, MAX_INTERVAL_MILLIS, standard.silenceMillis());
+        wire.integer("heartbeat_ms", 10, MAX_INTERVAL_MILLIS, standard.heartbeatIntervalMillis());
+    long silence =
+        wire.integer("silence_ms", 20, MAX_INTERVAL_MILLIS, standard.heartbeatTimeoutMillis());
     if (silence < 2 * heartbeat) {
       wire.record(
           "silence_ms",
           Kind.OUT_OF_RANGE,
           "must be at least twice heartbeat_ms, else one late heartbeat ends a good connection");
     }
-    long connect = wire.integer("connect_ms", 10, MAX_INTERVAL_MILLIS, standard.connectMillis());
+    long connect =
+        wire.integer("connect_ms", 10, MAX_INTERVAL_MILLIS, standard.maxConnectTimeoutMillis());
     long outgoing =
-        wire.integer("outgoing_messages", 16, MAX_OUTGOING_MESSAGES, standard.outgoingMessages());
+        wire.integer("outgoing_messages", 16, MAX_OUTGOING_MESSAGES, standard.maxQueuedMessages());
     return new WireSettings(heartbeat, silence, (int) connect, (int) outgoing);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/settings/TlsSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/TlsSettings.java
@@ -6,8 +6,10 @@
 /**
  * Files that hold keys and certificates in PEM form. They are read again while the process runs.
  *
- * @param certificate the certificate chain, own certificate first
- * @param key the private key in PKCS #8 form, not encrypted
- * @param trusted the certificates of those who may sign a peer's; empty when peers show none
+ * @param certificateFile the certificate chain, own certificate first
+ * @param privateKeyFile the private key in PKCS #8 form, not encrypted
+ * @param trustedCertificates the certificates of those who may sign a peer's; empty when peers show
+ *     none
  */
-public record TlsSettings(Path certificate, Path key, Optional<Path> trusted) {}
+public record TlsSettings(
+    Path certificateFile, Path privateKeyFile, Optional<Path> trustedCertificates) {}
--- a/runtime/src/main/java/org/hornbeamusher/companion/ConnectedEntries.java
+++ b/runtime/src/main/java/org/hornbeamusher/sidecar/ConnectedEntries.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.companion;
+package org.hornbeamusher.sidecar;
 
 import java.util.HashMap;
 import java.util.List;
@@ -6,14 +6,14 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.holdings.AdapterSlots;
 import org.hornbeamusher.holdings.EngineWorkload;
 import org.hornbeamusher.holdings.EngineWorkloads;
 import org.hornbeamusher.holdings.LoadCosts;
 import org.hornbeamusher.holdings.ReservationId;
 import org.hornbeamusher.holdings.WorkloadReportThrottle;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireConnection;
 
@@ -66,7 +66,7 @@
     entries.forEach(
         (connection, entry) -> {
           if (entry.number == id.entry()) {
-            connection.send(new Message.Granted(id.number()));
+            connection.send(new Message.ReservationGranted(id.number()));
           }
         });
   }
@@ -80,7 +80,7 @@
    * @param leaving whether it takes no new work
    */
   void reportHoldings(
-      Optional<EndpointLife> incarnation,
+      Optional<EndpointIncarnation> incarnation,
       AdapterSlots adapterSlots,
       int entryCount,
       boolean leaving) {
@@ -127,9 +127,9 @@
    * @param leaving whether the engine takes no new work
    */
   private record Holdings(
-      Optional<EndpointLife> incarnation,
-      Set<HeldAdapter> held,
-      Set<HeldAdapter> loading,
+      Optional<EndpointIncarnation> incarnation,
+      Set<AdapterVersion> held,
+      Set<AdapterVersion> loading,
       int entryCount,
       boolean leaving) {
 
@@ -140,11 +140,13 @@
           toStrings(loading),
           entryCount,
           leaving,
-          incarnation.map(EndpointLife::startMillis).orElse(EndpointLife.UNKNOWN_START));
+          incarnation
+              .map(EndpointIncarnation::startMillis)
+              .orElse(EndpointIncarnation.UNKNOWN_START));
     }
 
-    private static List<String> toStrings(Set<HeldAdapter> adapters) {
-      return adapters.stream().map(HeldAdapter::toString).sorted().toList();
+    private static List<String> toStrings(Set<AdapterVersion> adapters) {
+      return adapters.stream().map(AdapterVersion::toString).sorted().toList();
     }
   }
 
@@ -171,7 +173,10 @@
         reportedCosts = costs;
         connection.send(
             new Message.EngineCosts(
-                costs.storeMillis(), costs.copyMillis(), costs.placeMillis(), costs.copies()));
+                costs.storeLoadMillis(),
+                costs.cachedLoadMillis(),
+                costs.slotWaitMillis(),
+                costs.cachedAdapters()));
       }
     }
   }
--- a/runtime/src/main/java/org/hornbeamusher/companion/EngineCalls.java
+++ b/runtime/src/main/java/org/hornbeamusher/sidecar/EngineClient.java
@@ -1,9 +1,9 @@
-package org.hornbeamusher.companion;
+package org.hornbeamusher.sidecar;
 
 import java.util.concurrent.CompletableFuture;
 import org.hornbeamusher.holdings.EngineOrder;
 import org.hornbeamusher.holdings.EngineReport;
-import org.hornbeamusher.holdings.OrderAnswer;
+import org.hornbeamusher.holdings.OrderResult;
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.ids.FencingNumber;
 
@@ -13,7 +13,7 @@
  * <p>A call that the engine refuses with a Retry-After period fails with {@code ENDPOINT_BACKOFF},
  * which carries that period.
  */
-public interface EngineCalls {
+public interface EngineClient {
 
   /**
    * Requests a report of the engine's state.
@@ -39,6 +39,6 @@
    * @param fencing the fencing number of this agent
    * @return the result; {@code UNKNOWN} when no response was received
    */
-  CompletableFuture<OrderAnswer> order(
+  CompletableFuture<OrderResult> order(
       EngineOrder order, EndpointId engine, long sequence, FencingNumber fencing);
 }
--- a/runtime/src/main/java/org/hornbeamusher/companion/EngineIncarnationTracker.java
+++ b/runtime/src/main/java/org/hornbeamusher/sidecar/EngineIncarnationTracker.java
@@ -1,9 +1,9 @@
-package org.hornbeamusher.companion;
+package org.hornbeamusher.sidecar;
 
 import java.util.Optional;
 import org.hornbeamusher.holdings.EngineReport;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 
 /**
  * Determines which incarnation of the engine a report comes from.
@@ -51,36 +51,37 @@
     }
   }
 
-  private Optional<EndpointLife> incarnation = Optional.empty();
+  private Optional<EndpointIncarnation> incarnation = Optional.empty();
   private Optional<EndpointId> engineId = Optional.empty();
   private boolean unreachable = true;
   private boolean reportSeen;
-  private long startMillis = EndpointLife.UNKNOWN_START;
+  private long startMillis = EndpointIncarnation.UNKNOWN_START;
   private long sequence;
 
   /** Compares a report with the known incarnation and records it. */
   Verdict recordReport(EngineReport report) {
-    boolean restarted = reportSeen && !EndpointLife.sameStart(report.startMillis(), startMillis);
-    boolean reset = reportSeen && report.sequence() < sequence;
+    boolean restarted =
+        reportSeen && !EndpointIncarnation.maybeSameStart(report.startMillis(), startMillis);
+    boolean reset = reportSeen && report.orderSequence() < sequence;
     storeReport(report);
     if (restarted || reset) {
       return startNewIncarnation(restarted ? Verdict.RESTARTED : Verdict.COUNT_RESET);
     }
     if (incarnation.isPresent()) {
-      incarnation = incarnation.map(one -> new EndpointLife(one.id(), startMillis));
+      incarnation = incarnation.map(one -> new EndpointIncarnation(one.id(), startMillis));
       return Verdict.SAME;
     }
-    incarnation = engineId.map(id -> new EndpointLife(id, startMillis));
+    incarnation = engineId.map(id -> new EndpointIncarnation(id, startMillis));
     return incarnation.isPresent() ? Verdict.NAMED : Verdict.UNNAMED;
   }
 
   private void storeReport(EngineReport report) {
     reportSeen = true;
     unreachable = false;
-    if (report.startMillis() != EndpointLife.UNKNOWN_START) {
+    if (report.startMillis() != EndpointIncarnation.UNKNOWN_START) {
       startMillis = report.startMillis();
     }
-    sequence = report.sequence();
+    sequence = report.orderSequence();
   }
 
   private Verdict startNewIncarnation(Verdict end) {
@@ -98,7 +99,7 @@
   /** Records that the engine does not respond. */
   void markUnreachable() {
     unreachable = true;
-    if (startMillis == EndpointLife.UNKNOWN_START) {
+    if (startMillis == EndpointIncarnation.UNKNOWN_START) {
       reset();
     }
   }
@@ -121,7 +122,7 @@
   }
 
   /** Returns the current incarnation; empty while the engine is unreachable or its id unknown. */
-  Optional<EndpointLife> current() {
+  Optional<EndpointIncarnation> current() {
     return unreachable ? Optional.empty() : incarnation;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/companion/EntryServices.java
+++ b/runtime/src/main/java/org/hornbeamusher/sidecar/EntryServices.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.companion;
+package org.hornbeamusher.sidecar;
 
 import com.codahale.metrics.Counter;
 import com.codahale.metrics.MetricRegistry;
@@ -6,7 +6,7 @@
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.loop.EventLoop;
 import org.hornbeamusher.quota.QuotaSettings;
-import org.hornbeamusher.ratelimit.PermitDecision;
+import org.hornbeamusher.ratelimit.RatePermitDecision;
 import org.hornbeamusher.ratelimit.RatePermits;
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireConnection;
@@ -51,7 +51,7 @@
       case Message.RatePermitRequest request -> decidePermit(entry, request);
       case Message.RateLimitLifted lifted -> {
         long now = clock.millis();
-        permits.lifted(new EndpointId(lifted.endpoint()), now - lifted.sentAgoMillis(), now);
+        permits.limitLifted(new EndpointId(lifted.endpoint()), now - lifted.sentAgoMillis(), now);
       }
       default -> {
         return false;
@@ -62,21 +62,23 @@
 
   private void decidePermit(WireConnection entry, Message.RatePermitRequest request) {
     long now = clock.millis();
-    PermitDecision decision =
-        permits.permit(
+    RatePermitDecision decision =
+        permits.tryAcquire(
             new EndpointId(request.endpoint()),
             request.perSecond(),
-            now - request.statedAgoMillis(),
-            request.mostWaitMillis(),
+            now - request.advertisedAgoMillis(),
+            request.maxWaitMillis(),
             now);
     switch (decision) {
-      case PermitDecision.Granted permit -> {
+      case RatePermitDecision.Granted permit -> {
         granted.inc();
-        entry.send(new Message.RatePermitReply(request.number(), true, permit.waitMillis()));
+        entry.send(
+            new Message.RatePermitResponse(request.requestNumber(), true, permit.waitMillis()));
       }
-      case PermitDecision.Refused refusal -> {
+      case RatePermitDecision.Refused refusal -> {
         refused.inc();
-        entry.send(new Message.RatePermitReply(request.number(), false, refusal.waitMillis()));
+        entry.send(
+            new Message.RatePermitResponse(request.requestNumber(), false, refusal.waitMillis()));
       }
     }
   }
--- a/runtime/src/main/java/org/hornbeamusher/companion/FencingNumbers.java
+++ b/runtime/src/main/java/org/hornbeamusher/sidecar/FencingNumbers.java
@@ -1,11 +1,11 @@
-package org.hornbeamusher.companion;
+package org.hornbeamusher.sidecar;
 
 import java.util.Optional;
 import org.hornbeamusher.events.EventLog;
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.failure.HornbeamusherException;
+import org.hornbeamusher.fencing.FencingNumberAllocator;
 import org.hornbeamusher.ids.FencingNumber;
-import org.hornbeamusher.lease.FencingLease;
 import org.hornbeamusher.loop.EventLoop;
 
 /**
@@ -20,7 +20,7 @@
 
   private static final long RETRY_MILLIS = 1_000;
 
-  private final FencingLease lease;
+  private final FencingNumberAllocator lease;
   private final EventLoop loop;
   private long number = 1;
   private long increment = 1;
@@ -32,7 +32,7 @@
 
   private boolean retrying;
 
-  FencingNumbers(FencingLease lease, EventLoop loop) {
+  FencingNumbers(FencingNumberAllocator lease, EventLoop loop) {
     this.lease = lease;
     this.loop = loop;
   }
--- a/runtime/src/main/java/org/hornbeamusher/companion/CompanionDaemon.java
+++ b/runtime/src/main/java/org/hornbeamusher/sidecar/SidecarDaemon.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.companion;
+package org.hornbeamusher.sidecar;
 
 import com.codahale.metrics.Gauge;
 import com.codahale.metrics.MetricRegistry;
@@ -7,29 +7,29 @@
 import java.util.OptionalLong;
 import java.util.concurrent.ThreadLocalRandom;
 import org.hornbeamusher.availability.AvailabilityLog;
-import org.hornbeamusher.availability.AvailabilityRegister;
+import org.hornbeamusher.availability.AvailabilityRegistry;
 import org.hornbeamusher.availability.EndpointAvailability;
-import org.hornbeamusher.availability.StatedRetryAfter;
+import org.hornbeamusher.availability.RetryAfter;
 import org.hornbeamusher.clock.Clock;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.events.EventLog;
 import org.hornbeamusher.events.EventType;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
+import org.hornbeamusher.fencing.FencingNumberAllocator;
 import org.hornbeamusher.holdings.AdapterSlots;
 import org.hornbeamusher.holdings.EngineOrder;
 import org.hornbeamusher.holdings.EngineReport;
-import org.hornbeamusher.holdings.OrderAnswer;
+import org.hornbeamusher.holdings.OrderResult;
 import org.hornbeamusher.holdings.Reservation;
 import org.hornbeamusher.holdings.ReservationId;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 import org.hornbeamusher.ids.FencingNumber;
-import org.hornbeamusher.lease.FencingLease;
 import org.hornbeamusher.loop.EventLoop;
 import org.hornbeamusher.routes.AdapterKey;
 import org.hornbeamusher.routes.EngineSpec;
-import org.hornbeamusher.routes.VersionsInForce;
+import org.hornbeamusher.routes.LatestAdapterVersions;
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireConnection;
 import org.hornbeamusher.wire.WireListener;
@@ -45,7 +45,7 @@
  * engine has restarted in the meantime; if so, the order and its result are disregarded, whichever
  * incarnation gave the result.
  */
-public final class CompanionDaemon implements WireListener {
+public final class SidecarDaemon implements WireListener {
 
   private static final int PROTOCOL = 1;
 
@@ -63,13 +63,13 @@
   /** Interval at which time-based events (withdrawals, expired waits) are checked. */
   private static final long TICK_MILLIS = 20;
 
-  private final CompanionSettings settings;
-  private final EngineCalls engine;
+  private final SidecarSettings settings;
+  private final EngineClient engine;
   private final EventLoop loop;
   private final Clock clock;
   private final WireService server;
   private final FencingNumbers fencing;
-  private final VersionsInForce versions = new VersionsInForce();
+  private final LatestAdapterVersions versions = new LatestAdapterVersions();
   private final ConnectedEntries entries = new ConnectedEntries();
   private final EntryServices services;
   private final MetricRegistry registry = new MetricRegistry();
@@ -83,7 +83,7 @@
   private final EndpointAvailability availability = new EndpointAvailability();
 
   /** Incarnations of the engine that have stated that they are draining. */
-  private final AvailabilityRegister incarnationAvailability = new AvailabilityRegister();
+  private final AvailabilityRegistry incarnationAvailability = new AvailabilityRegistry();
 
   private boolean callInProgress;
   private boolean reachable = true;
@@ -109,10 +109,10 @@
    * @param loop event loop that runs all of its decisions
    * @param clock monotonic clock
    */
-  public CompanionDaemon(
-      CompanionSettings settings,
-      EngineCalls engine,
-      FencingLease lease,
+  public SidecarDaemon(
+      SidecarSettings settings,
+      EngineClient engine,
+      FencingNumberAllocator lease,
       WireTransport transport,
       EventLoop loop,
       Clock clock) {
@@ -122,10 +122,10 @@
     this.clock = clock;
     this.fencing = new FencingNumbers(lease, loop);
     this.services = new EntryServices(loop, clock, registry);
-    this.server = transport.listen(settings.entries(), hello(settings), this);
+    this.server = transport.listen(settings.listenAddress(), hello(settings), this);
   }
 
-  private static Message.Hello hello(CompanionSettings settings) {
+  private static Message.Hello hello(SidecarSettings settings) {
     return new Message.Hello(
         PROTOCOL,
         PROTOCOL,
@@ -142,7 +142,7 @@
    *
    * @return orders by result, connected entries, free adapter slots and others
    */
-  public MetricRegistry registry() {
+  public MetricRegistry metrics() {
     return registry;
   }
 
@@ -170,7 +170,7 @@
         "engine",
         settings.engine(),
         "entries",
-        settings.entries());
+        settings.listenAddress());
   }
 
   /** Stops the agent and closes its connections. */
@@ -184,13 +184,13 @@
    *
    * @param engineSpec its adapter slots and models
    */
-  public void configured(EngineSpec engineSpec) {
+  public void updateEngineSpec(EngineSpec engineSpec) {
     if (engineSpec.equals(spec)) {
       return;
     }
     spec = engineSpec;
     if (adapterSlots == null) {
-      adapterSlots = new AdapterSlots(spec.adapterPlaces(), versions, clock.millis());
+      adapterSlots = new AdapterSlots(spec.adapterCapacity(), versions, clock.millis());
       Optional.ofNullable(report)
           .ifPresent(lastReport -> adapterSlots.recordReport(lastReport, clock.millis()));
     }
@@ -203,7 +203,7 @@
    * @param adapter the adapter
    * @param version any version; a version older than the one in force is ignored
    */
-  public void versioned(AdapterKey adapter, long version) {
+  public void updateAdapterVersion(AdapterKey adapter, long version) {
     if (versions.offer(adapter, version)) {
       EventLog.log(EventType.VERSION_IN_FORCE, "adapter", adapter, "version", version);
       scheduleDueWork();
@@ -214,9 +214,9 @@
   public void engineLeaving() {
     loop.execute(
         () -> {
-          Optional<EndpointLife> incarnation = incarnationTracker.current();
+          Optional<EndpointIncarnation> incarnation = incarnationTracker.current();
           if (incarnation.isPresent()
-              && incarnationAvailability.of(incarnation.get()).statedLeaving()) {
+              && incarnationAvailability.of(incarnation.get()).recordLeaving()) {
             AvailabilityLog.leaving(incarnation.get().id(), incarnation.get().startMillis());
             scheduleDueWork();
           }
@@ -266,9 +266,9 @@
     switch (message) {
       case Message.Reserve reserve ->
           adapterSlots.reserve(reservation(entry, reserve), clock.millis());
-      case Message.PromptRead read ->
+      case Message.PromptProcessed read ->
           adapterSlots.promptProcessed(new ReservationId(entry, read.reservation()));
-      case Message.Release release ->
+      case Message.ReservationRelease release ->
           adapterSlots.release(new ReservationId(entry, release.reservation()));
       default -> {
         // A newer entry may send messages that this agent does not know.
@@ -280,11 +280,11 @@
   private Reservation reservation(long entry, Message.Reserve reserve) {
     return new Reservation(
         new ReservationId(entry, reserve.reservation()),
-        new HeldAdapter(AdapterKey.parse(reserve.adapter()), reserve.version()),
+        new AdapterVersion(AdapterKey.parse(reserve.adapter()), reserve.version()),
         reserve.rank(),
-        reserve.unreadTokens(),
-        clock.millis() + reserve.waitMillis(),
-        clock.millis() + reserve.aimMillis());
+        reserve.pendingPromptTokens(),
+        clock.millis() + reserve.maxWaitMillis(),
+        clock.millis() + reserve.firstEventTargetMillis());
   }
 
   /** Schedules {@link #runDueWork} once for all messages that are processed before it runs. */
@@ -343,7 +343,7 @@
       return;
     }
     Optional<FencingNumber> number = fencing.current();
-    Optional<EndpointLife> incarnation = incarnationTracker.current();
+    Optional<EndpointIncarnation> incarnation = incarnationTracker.current();
     if (adapterSlots != null && number.isPresent() && report != null && incarnation.isPresent()) {
       Optional<EngineOrder> order = adapterSlots.nextOrder(spec.models(), now);
       if (order.isPresent()) {
@@ -400,13 +400,13 @@
     }
     long now = clock.millis();
     long stated = failure.retryAfterMillis().orElse(UNREACHABLE_REPORT_MILLIS);
-    if (availability.answered(new StatedRetryAfter.Millis(stated), now)) {
+    if (availability.recordRetryAfter(new RetryAfter.Millis(stated), now)) {
       AvailabilityLog.backoff(
           incarnationTracker.current().map(incarnation -> incarnation.id().value()).orElse(""),
           incarnationTracker
               .current()
-              .map(EndpointLife::startMillis)
-              .orElse(EndpointLife.UNKNOWN_START),
+              .map(EndpointIncarnation::startMillis)
+              .orElse(EndpointIncarnation.UNKNOWN_START),
           availability.backoffMillis(now));
     }
     nextReportMillis = now + Math.min(availability.backoffMillis(now), IDLE_REPORT_MILLIS);
@@ -455,11 +455,11 @@
     EventLog.log(
         EventType.ENGINE_SEEN,
         "endpoint",
-        incarnationTracker.current().map(EndpointLife::id).orElseThrow(),
+        incarnationTracker.current().map(EndpointIncarnation::id).orElseThrow(),
         "start_ms",
         newReport.startMillis(),
         "sequence",
-        newReport.sequence());
+        newReport.orderSequence());
   }
 
   private void applyReport(EngineReport newReport) {
@@ -522,9 +522,9 @@
     }
   }
 
-  private void sendOrder(EngineOrder order, EndpointLife incarnation, FencingNumber number) {
+  private void sendOrder(EngineOrder order, EndpointIncarnation incarnation, FencingNumber number) {
     callInProgress = true;
-    long sequence = report.sequence();
+    long sequence = report.orderSequence();
     engine
         .order(order, incarnation.id(), sequence, number)
         .whenComplete(
@@ -535,13 +535,13 @@
 
   private void orderCompleted(
       EngineOrder order,
-      EndpointLife incarnation,
+      EndpointIncarnation incarnation,
       long sequence,
       FencingNumber number,
-      OrderAnswer response,
+      OrderResult response,
       Throwable thrown) {
     callInProgress = false;
-    OrderAnswer result = thrown == null ? response : OrderAnswer.UNKNOWN;
+    OrderResult result = thrown == null ? response : OrderResult.UNKNOWN;
     EventLog.log(
         EventType.ENGINE_ORDERED,
         "order",
@@ -561,10 +561,10 @@
     String kind = order instanceof EngineOrder.Load ? "load" : "unload";
     registry.counter("agent.orders." + kind + "." + result.name().toLowerCase(Locale.ROOT)).inc();
     adapterSlots.orderCompleted(result);
-    if (result == OrderAnswer.STALE) {
+    if (result == OrderResult.STALE) {
       fencing.refused();
     }
-    if (result == OrderAnswer.OTHER_ENDPOINT) {
+    if (result == OrderResult.OTHER_ENDPOINT) {
       incarnationTracker.idRefuted();
       discardEngineState();
       runDueWork();
@@ -574,7 +574,7 @@
   }
 
   private void reportHoldings() {
-    Optional<EndpointLife> incarnation =
+    Optional<EndpointIncarnation> incarnation =
         report == null ? Optional.empty() : incarnationTracker.current();
     boolean stated =
         incarnation.filter(current -> incarnationAvailability.of(current).leaving()).isPresent();
--- a/runtime/src/main/java/org/hornbeamusher/companion/CompanionSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/sidecar/SidecarSettings.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.companion;
+package org.hornbeamusher.sidecar;
 
 import java.net.InetSocketAddress;
 import java.util.Optional;
@@ -8,14 +8,14 @@
  *
  * @param instance the instance's name
  * @param zone its availability zone
- * @param entries address where entries connect
- * @param metrics address where it serves its metrics
+ * @param listenAddress address where entries connect
+ * @param metricsAddress address where it serves its metrics
  * @param engine the engine's address, host and port joined by a hyphen; key of its row of fencing
  *     numbers, and identifies the agent's endpoint in the endpoint lists of the entries
  */
-public record CompanionSettings(
+public record SidecarSettings(
     String instance,
     String zone,
-    InetSocketAddress entries,
-    Optional<InetSocketAddress> metrics,
+    InetSocketAddress listenAddress,
+    Optional<InetSocketAddress> metricsAddress,
     String engine) {}
--- a/runtime/src/main/java/org/hornbeamusher/companion/UsageRelayService.java
+++ b/runtime/src/main/java/org/hornbeamusher/sidecar/UsageRelayService.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.companion;
+package org.hornbeamusher.sidecar;
 
 import org.hornbeamusher.clock.Clock;
 import org.hornbeamusher.loop.EventLoop;
@@ -28,24 +28,24 @@
   }
 
   void entryConnected(WireConnection entry) {
-    relay.opened(entry, entry.peer().instance());
+    relay.entryConnected(entry, entry.peer().instance());
   }
 
   void entryLeaving(WireConnection entry) {
-    relay.left(entry);
+    relay.entryLeaving(entry);
   }
 
   void entryDisconnected(WireConnection entry) {
-    relay.closed(entry, clock.millis());
+    relay.entryDisconnected(entry, clock.millis());
   }
 
   int entryCount() {
-    return relay.size(clock.millis());
+    return relay.entryCount(clock.millis());
   }
 
   void received(WireConnection entry, Message.UsageReport report) {
-    relay.reported(entry, report.increments(), clock.millis());
-    if (relay.changed() && !updateScheduled) {
+    relay.recordReport(entry, report.increments(), clock.millis());
+    if (relay.hasUnforwardedUsage() && !updateScheduled) {
       updateScheduled = true;
       loop.after(
           settings.urgentMillis(),
@@ -62,18 +62,18 @@
 
   /** Also sends without changes, because entries consider a silent relay unreachable. */
   private void sendPeriodically() {
-    periodic = relay.used(clock.millis());
+    periodic = relay.hasReportingEntries(clock.millis());
     if (periodic) {
       sendUpdates();
-      loop.after(settings.intervalMillis(relay.size(clock.millis())), this::sendPeriodically);
+      loop.after(settings.intervalMillis(relay.entryCount(clock.millis())), this::sendPeriodically);
     }
   }
 
   private void sendUpdates() {
     long now = clock.millis();
-    int reachable = relay.reachable(now);
-    int entries = relay.size(now);
-    relay.pass(
+    int reachable = relay.reportingEntryCount(now);
+    int entries = relay.entryCount(now);
+    relay.forwardUsage(
         now,
         (entry, increments) -> entry.send(new Message.UsageUpdate(increments, reachable, entries)));
   }
--- a/runtime/src/main/java/org/hornbeamusher/companion/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/sidecar/package-info.java
@@ -1,2 +1,2 @@
 /** The agent beside an engine to which entries send their requests directly. */
-package org.hornbeamusher.companion;
+package org.hornbeamusher.sidecar;
--- a/runtime/src/main/java/org/hornbeamusher/status/ProcessStatus.java
+++ b/runtime/src/main/java/org/hornbeamusher/status/ProcessStatus.java
@@ -34,9 +34,9 @@
     AvailabilityZone zone,
     boolean leaving,
     int inFlight,
-    List<Endpoint> endpoints,
-    List<Service> services,
-    List<Quarantined> quarantined) {
+    List<EndpointStatus> endpoints,
+    List<ServiceStatus> services,
+    List<QuarantinedRequest> quarantined) {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -55,24 +55,24 @@
    * @param pool its pool
    * @param reachable whether work is sent to it
    * @param running requests in its batch
-   * @param batch most requests it runs at once
+   * @param batchCapacity most requests it runs at once
    * @param queued requests that wait at its agent
-   * @param slots most adapters it holds at once
+   * @param adapterCapacity most adapters it holds at once
    * @param resident the adapters it holds
    */
-  public record Endpoint(
+  public record EndpointStatus(
       EndpointId id,
       AvailabilityZone zone,
       PoolName pool,
       boolean reachable,
       int running,
-      int batch,
+      int batchCapacity,
       int queued,
-      int slots,
+      int adapterCapacity,
       List<AdapterRef> resident) {
 
     /** Copies the list. */
-    public Endpoint {
+    public EndpointStatus {
       resident = List.copyOf(resident);
     }
   }
@@ -86,7 +86,7 @@
    * @param answered requests answered whole since the process started
    * @param refused requests refused or failed since then, by type
    */
-  public record Service(
+  public record ServiceStatus(
       ServiceName name,
       PartnerId partner,
       long version,
@@ -94,7 +94,7 @@
       Map<FailureType, Long> refused) {
 
     /** Copies the map. */
-    public Service {
+    public ServiceStatus {
       refused = Map.copyOf(refused);
     }
   }
@@ -106,7 +106,7 @@
    * @param fingerprint the hash that recognises it
    * @param untilMillis when it is let in again
    */
-  public record Quarantined(ServiceName service, String fingerprint, long untilMillis) {}
+  public record QuarantinedRequest(ServiceName service, String fingerprint, long untilMillis) {}
 
   /**
    * Removes what belongs to other partners: their services, adapters and quarantined requests.
@@ -116,25 +116,25 @@
    * @return a copy
    */
   public ProcessStatus visibleTo(PartnerId partner) {
-    List<Service> own = services.stream().filter(s -> s.partner().equals(partner)).toList();
-    Set<ServiceName> names = own.stream().map(Service::name).collect(Collectors.toSet());
-    List<Endpoint> seen =
+    List<ServiceStatus> own = services.stream().filter(s -> s.partner().equals(partner)).toList();
+    Set<ServiceName> names = own.stream().map(ServiceStatus::name).collect(Collectors.toSet());
+    List<EndpointStatus> seen =
         endpoints.stream().map(endpoint -> onlyServices(endpoint, names)).toList();
-    List<Quarantined> refused =
+    List<QuarantinedRequest> refused =
         quarantined.stream().filter(q -> names.contains(q.service())).toList();
     return new ProcessStatus(instance, role, zone, leaving, inFlight, seen, own, refused);
   }
 
-  private static Endpoint onlyServices(Endpoint endpoint, Set<ServiceName> names) {
-    return new Endpoint(
+  private static EndpointStatus onlyServices(EndpointStatus endpoint, Set<ServiceName> names) {
+    return new EndpointStatus(
         endpoint.id(),
         endpoint.zone(),
         endpoint.pool(),
         endpoint.reachable(),
         endpoint.running(),
-        endpoint.batch(),
+        endpoint.batchCapacity(),
         endpoint.queued(),
-        endpoint.slots(),
+        endpoint.adapterCapacity(),
         endpoint.resident().stream().filter(ref -> names.contains(ref.service())).toList());
   }
 
@@ -156,7 +156,7 @@
     ArrayNode serviceList = root.putArray("services");
     services.forEach(service -> add(serviceList.addObject(), service));
     ArrayNode quarantineList = root.putArray("quarantined");
-    for (Quarantined entry : quarantined) {
+    for (QuarantinedRequest entry : quarantined) {
       quarantineList
           .addObject()
           .put("service", entry.service().value())
@@ -166,20 +166,20 @@
     return root.toString();
   }
 
-  private static void add(ObjectNode node, Endpoint endpoint) {
+  private static void add(ObjectNode node, EndpointStatus endpoint) {
     node.put("endpoint", endpoint.id().value())
         .put("zone", endpoint.zone().value())
         .put("pool", endpoint.pool().value())
         .put("reachable", endpoint.reachable())
         .put("running", endpoint.running())
-        .put("batch", endpoint.batch())
+        .put("batch", endpoint.batchCapacity())
         .put("queued", endpoint.queued())
-        .put("slots", endpoint.slots());
+        .put("slots", endpoint.adapterCapacity());
     ArrayNode resident = node.putArray("resident");
     endpoint.resident().stream().sorted().forEach(ref -> resident.add(ref.toString()));
   }
 
-  private static void add(ObjectNode node, Service service) {
+  private static void add(ObjectNode node, ServiceStatus service) {
     node.put("service", service.name().value())
         .put("partner", service.partner().value())
         .put("version", service.version())
--- a/runtime/src/main/java/org/hornbeamusher/status/StatusText.java
+++ b/runtime/src/main/java/org/hornbeamusher/status/StatusText.java
@@ -34,7 +34,7 @@
         "%n%-20s %8s %10s  %s%n".formatted("service", "version", "answered", "refused by type"));
     status.services().forEach(service -> text.append(line(service)));
     text.append("%nquarantined: %d%n".formatted(status.quarantined().size()));
-    for (ProcessStatus.Quarantined entry : status.quarantined()) {
+    for (ProcessStatus.QuarantinedRequest entry : status.quarantined()) {
       text.append("  %s %s%n".formatted(entry.service(), entry.fingerprint()));
     }
     return text.toString();
@@ -55,7 +55,7 @@
         + "</pre></body></html>";
   }
 
-  private static String line(ProcessStatus.Endpoint endpoint) {
+  private static String line(ProcessStatus.EndpointStatus endpoint) {
     String resident =
         endpoint.resident().stream()
             .sorted()
@@ -69,13 +69,13 @@
             endpoint.zone(),
             endpoint.reachable() ? "reachable" : "UNREACHABLE",
             endpoint.running(),
-            endpoint.batch(),
+            endpoint.batchCapacity(),
             endpoint.queued(),
             resident,
             more > 0 ? " +" + more : "");
   }
 
-  private static String line(ProcessStatus.Service service) {
+  private static String line(ProcessStatus.ServiceStatus service) {
     String refused =
         service.refused().entrySet().stream()
             .sorted(Map.Entry.comparingByKey())
--- a/runtime/src/main/java/org/hornbeamusher/suspects/SuspectRows.java
+++ b/runtime/src/main/java/org/hornbeamusher/suspects/SuspectStore.java
@@ -23,7 +23,7 @@
  * a suspect is dispatched; only suspects pay for it, and crashes are rare. A row older than the
  * quarantine counts as absent and is overwritten by the next crash.
  */
-public final class SuspectRows {
+public final class SuspectStore {
 
   private static final String TABLE = "suspects";
 
@@ -45,7 +45,7 @@
    * @param settings how long crashes count
    * @param clock the clock
    */
-  public SuspectRows(Table table, QuarantineSettings settings, Clock clock) {
+  public SuspectStore(Table table, QuarantineSettings settings, Clock clock) {
     this.table = table;
     this.settings = settings;
     this.clock = clock;
@@ -58,7 +58,7 @@
    * @param untilMillis the request's deadline; after it another entry may run the suspect
    * @return never fails; with the table down the suspect is refused
    */
-  public CompletableFuture<SuspectClaim> begin(long fingerprint, long untilMillis) {
+  public CompletableFuture<SuspectClaim> claim(long fingerprint, long untilMillis) {
     return table
         .read(key(fingerprint))
         .thenCompose(row -> claim(fingerprint, row, untilMillis))
@@ -71,7 +71,7 @@
    * @param fingerprint the suspect
    * @return completes with the crashes known now; fails while the table is down
    */
-  public CompletableFuture<Integer> crashed(long fingerprint) {
+  public CompletableFuture<Integer> recordCrash(long fingerprint) {
     return update(fingerprint, row -> row.crashedAt(clock.millis()), 1);
   }
 
@@ -81,7 +81,7 @@
    * @param fingerprint the suspect
    * @return completes when the suspect may run again; fails while the table is down
    */
-  public CompletableFuture<Integer> ended(long fingerprint) {
+  public CompletableFuture<Integer> release(long fingerprint) {
     return update(fingerprint, row -> row.runningUntil(0), 1);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/table/HttpInstanceList.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/HttpInstanceList.java
@@ -3,8 +3,8 @@
 import java.net.URI;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
+import org.hornbeamusher.http.HttpRequest;
 
 /** Reads the instance list over HTTP. */
 public final class HttpInstanceList implements InstanceList {
@@ -27,6 +27,7 @@
   @Override
   public CompletableFuture<List<Instance>> instances() {
     return calls.read(
-        HttpCall.get(uri), body -> PlatformJson.decode(body, PlatformJson.Instances.class).list());
+        HttpRequest.get(uri),
+        body -> PlatformJson.decode(body, PlatformJson.Instances.class).list());
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/table/HttpTable.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/HttpTable.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
+import org.hornbeamusher.http.HttpRequest;
 
 /** Accesses the table service over HTTP; see {@code docs/PLATFORM-INTERFACE.md} for the formats. */
 public final class HttpTable implements Table {
@@ -34,7 +34,7 @@
     String query = "?table=" + encode(key.table()) + "&key=" + encode(key.key());
     URI uri = platform.resolve("/rows" + query);
     return calls.read(
-        HttpCall.get(uri),
+        HttpRequest.get(uri),
         body -> PlatformJson.decode(body, PlatformJson.Rows.class).toRows().stream().findFirst());
   }
 
@@ -43,15 +43,15 @@
     String range = "&prefix=" + encode(prefix) + "&after=" + encode(after) + "&limit=" + limit;
     URI uri = platform.resolve("/rows?table=" + encode(table) + range);
     return calls.read(
-        HttpCall.get(uri), body -> PlatformJson.decode(body, PlatformJson.Rows.class).toRows());
+        HttpRequest.get(uri), body -> PlatformJson.decode(body, PlatformJson.Rows.class).toRows());
   }
 
   @Override
   public CompletableFuture<CommitResult> commit(Transaction transaction) {
-    byte[] body = PlatformJson.encode(PlatformJson.Commit.of(transaction));
+    byte[] body = PlatformJson.encode(PlatformJson.CommitRequest.of(transaction));
     return calls.write(
-        HttpCall.postJson(commits, body),
-        response -> PlatformJson.decode(response, PlatformJson.Result.class).toResult());
+        HttpRequest.postJson(commits, body),
+        response -> PlatformJson.decode(response, PlatformJson.CommitResponse.class).toResult());
   }
 
   private static String encode(String text) {
--- a/runtime/src/main/java/org/hornbeamusher/table/PlatformCalls.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/PlatformCalls.java
@@ -6,9 +6,9 @@
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.failure.Outcome;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
-import org.hornbeamusher.http.HttpReply;
+import org.hornbeamusher.http.HttpRequest;
+import org.hornbeamusher.http.HttpResponse;
 
 /**
  * Sends calls to the platform and classifies each failure by whether a write may have taken effect.
@@ -32,20 +32,20 @@
     this.timeoutMillis = timeoutMillis;
   }
 
-  <T> CompletableFuture<T> read(HttpCall call, Function<byte[], T> decoder) {
+  <T> CompletableFuture<T> read(HttpRequest call, Function<byte[], T> decoder) {
     return client
         .send(call, timeoutMillis)
         .handle((reply, thrown) -> decode(reply, thrown, decoder, Outcome.NOT_RUN));
   }
 
-  <T> CompletableFuture<T> write(HttpCall call, Function<byte[], T> decoder) {
+  <T> CompletableFuture<T> write(HttpRequest call, Function<byte[], T> decoder) {
     return client
         .send(call, timeoutMillis)
         .handle((reply, thrown) -> decode(reply, thrown, decoder, Outcome.UNKNOWN));
   }
 
   private static <T> T decode(
-      HttpReply reply, Throwable thrown, Function<byte[], T> decoder, Outcome ambiguousOutcome) {
+      HttpResponse reply, Throwable thrown, Function<byte[], T> decoder, Outcome ambiguousOutcome) {
     if (thrown != null) {
       throw connectionFailure(HornbeamusherException.from(thrown), ambiguousOutcome);
     }
--- a/runtime/src/main/java/org/hornbeamusher/table/PlatformJson.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/PlatformJson.java
@@ -173,7 +173,7 @@
    * @param conditions conditions that must all hold
    * @param writes the writes to apply
    */
-  public record Commit(List<ConditionForm> conditions, List<WriteForm> writes) {
+  public record CommitRequest(List<ConditionForm> conditions, List<WriteForm> writes) {
 
     /**
      * Converts a transaction to its JSON form.
@@ -181,8 +181,8 @@
      * @param transaction the transaction
      * @return its JSON form
      */
-    public static Commit of(Transaction transaction) {
-      return new Commit(
+    public static CommitRequest of(Transaction transaction) {
+      return new CommitRequest(
           transaction.conditions().stream().map(ConditionForm::of).toList(),
           transaction.writes().stream().map(WriteForm::of).toList());
     }
@@ -205,7 +205,7 @@
    * @param committed whether it took effect
    * @param conflict the row whose condition failed; null if committed
    */
-  public record Result(boolean committed, ConflictForm conflict) {
+  public record CommitResponse(boolean committed, ConflictForm conflict) {
 
     /**
      * Converts a result to its JSON form.
@@ -213,11 +213,11 @@
      * @param result the result
      * @return its JSON form
      */
-    public static Result of(CommitResult result) {
+    public static CommitResponse of(CommitResult result) {
       return switch (result) {
-        case CommitResult.Committed committed -> new Result(true, null);
+        case CommitResult.Committed committed -> new CommitResponse(true, null);
         case CommitResult.Conflict conflict ->
-            new Result(
+            new CommitResponse(
                 false,
                 new ConflictForm(
                     conflict.key().table(),
--- a/runtime/src/main/java/org/hornbeamusher/toml/Problems.java
+++ b/runtime/src/main/java/org/hornbeamusher/toml/Problems.java
@@ -18,7 +18,7 @@
   /**
    * Finds the faults that a failure carries.
    *
-   * @param failure a failure thrown by {@link TomlChecker#finish}, or any other
+   * @param failure a failure thrown by {@link TomlChecker#throwIfProblems}, or any other
    * @return its faults, or none when it carries none
    */
   public static Problems of(org.hornbeamusher.failure.HornbeamusherException failure) {
--- a/runtime/src/main/java/org/hornbeamusher/toml/TomlChecker.java
+++ b/runtime/src/main/java/org/hornbeamusher/toml/TomlChecker.java
@@ -23,10 +23,10 @@
  *
  * <p>Each accessor marks its key as known and returns the value, or a harmless stand-in when the
  * value is absent or wrong: {@code ""}, the lowest number of the range, an empty list or table,
- * {@code null} for an identifier. The reader asks for every key and then calls {@link #finish},
- * which throws when anything was recorded, so that a stand-in never gets further than the reader.
- * Keys that were never asked for are faults as well: a misspelt optional key would otherwise be
- * ignored in silence and its default taken for the operator's wish.
+ * {@code null} for an identifier. The reader asks for every key and then calls {@link
+ * #throwIfProblems}, which throws when anything was recorded, so that a stand-in never gets further
+ * than the reader. Keys that were never asked for are faults as well: a misspelt optional key would
+ * otherwise be ignored in silence and its default taken for the operator's wish.
  *
  * <pre>
  * TomlChecker top = document.checker();
@@ -365,8 +365,8 @@
    * @return the faults in order of their lines
    */
   public List<Problem> problems() {
-    if (document.fatal().isPresent()) {
-      return List.of(document.fatal().get());
+    if (document.fatalProblem().isPresent()) {
+      return List.of(document.fatalProblem().get());
     }
     List<Problem> all = new ArrayList<>(problems);
     addUnknown(all);
@@ -379,7 +379,7 @@
    * @param type the failure to throw when there are faults; its template takes one argument
    * @throws HornbeamusherException carrying {@link Problems}
    */
-  public void finish(FailureType type) {
+  public void throwIfProblems(FailureType type) {
     List<Problem> all = problems();
     if (!all.isEmpty()) {
       throw HornbeamusherException.notRun(type, new Problems(all));
--- a/runtime/src/main/java/org/hornbeamusher/toml/TomlDocument.java
+++ b/runtime/src/main/java/org/hornbeamusher/toml/TomlDocument.java
@@ -100,7 +100,7 @@
    *
    * @return a syntax error or an unreadable file; empty when the text was read
    */
-  public Optional<Problem> fatal() {
+  public Optional<Problem> fatalProblem() {
     return fatal;
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/transfer/IncompleteTransferException.java
+++ b/runtime/src/main/java/org/hornbeamusher/transfer/IncompleteTransferException.java
@@ -8,7 +8,7 @@
 
   private static final long serialVersionUID = 1L;
 
-  private final transient Transfer received;
+  private final transient TransferStats received;
 
   /**
    * Creates an exception.
@@ -17,7 +17,7 @@
    * @param received duration and size of the received part
    * @param cause the underlying exception; null for a timeout
    */
-  public IncompleteTransferException(String reason, Transfer received, Throwable cause) {
+  public IncompleteTransferException(String reason, TransferStats received, Throwable cause) {
     super(
         "%s after %d ms, %d bytes received".formatted(reason, received.millis(), received.bytes()),
         cause);
@@ -30,7 +30,7 @@
    * @param thrown any exception
    * @return empty if it was not caused by an incomplete response
    */
-  public static Optional<Transfer> received(Throwable thrown) {
+  public static Optional<TransferStats> received(Throwable thrown) {
     Throwable current = thrown;
     while (current != null) {
       if (current instanceof IncompleteTransferException incomplete) {
--- a/runtime/src/main/java/org/hornbeamusher/transfer/TransferProgress.java
+++ b/runtime/src/main/java/org/hornbeamusher/transfer/TransferProgress.java
@@ -19,7 +19,7 @@
   /** A connection that delivers less than this within the stall timeout counts as silent. */
   static final long MIN_PROGRESS_BYTES = 4 * 1024;
 
-  private final TransferLimits limits;
+  private final TransferTimeouts limits;
   private final long startMillis;
   private long lastProgressMillis;
   private long bytes;
@@ -33,7 +33,7 @@
    * @param limits the timeouts of the response
    * @param now milliseconds
    */
-  public TransferProgress(TransferLimits limits, long now) {
+  public TransferProgress(TransferTimeouts limits, long now) {
     this.limits = limits;
     this.startMillis = now;
     this.lastProgressMillis = now;
@@ -44,7 +44,7 @@
    *
    * @param now milliseconds
    */
-  public void sent(long now) {
+  public void requestPartSent(long now) {
     if (!started) {
       lastProgressMillis = now;
     }
@@ -55,7 +55,7 @@
    *
    * @param now milliseconds
    */
-  public void begun(long now) {
+  public void responseStarted(long now) {
     overdue |= now > dueMillis();
     started = true;
     lastProgressMillis = now;
@@ -67,7 +67,7 @@
    * @param count number of bytes
    * @param now milliseconds
    */
-  public void received(int count, long now) {
+  public void bodyPartReceived(int count, long now) {
     overdue |= now > dueMillis();
     bytes += count;
     if (bytes - bytesAtProgress >= MIN_PROGRESS_BYTES) {
@@ -101,7 +101,7 @@
    * @param now milliseconds
    * @return the transfer up to now
    */
-  public Transfer transfer(long now) {
-    return new Transfer(now - startMillis, bytes);
+  public TransferStats transfer(long now) {
+    return new TransferStats(now - startMillis, bytes);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/transfer/Transfer.java
+++ b/runtime/src/main/java/org/hornbeamusher/transfer/TransferStats.java
@@ -6,10 +6,10 @@
  * @param millis time since the request was sent
  * @param bytes received bytes of the response body
  */
-public record Transfer(long millis, long bytes) {
+public record TransferStats(long millis, long bytes) {
 
   /** No time and no bytes. */
-  public static final Transfer NONE = new Transfer(0, 0);
+  public static final TransferStats NONE = new TransferStats(0, 0);
 
   /**
    * Adds a transfer that started after the end of this one.
@@ -17,7 +17,7 @@
    * @param next the later transfer
    * @return total duration and size
    */
-  public Transfer and(Transfer next) {
-    return new Transfer(millis + next.millis, bytes + next.bytes);
+  public TransferStats plus(TransferStats next) {
+    return new TransferStats(millis + next.millis, bytes + next.bytes);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/transfer/TransferLimits.java
+++ b/runtime/src/main/java/org/hornbeamusher/transfer/TransferTimeouts.java
@@ -6,7 +6,7 @@
  * @param startTimeoutMillis time until it starts, after the last part of the request was sent
  * @param stallTimeoutMillis time without progress, once it has started
  */
-public record TransferLimits(long startTimeoutMillis, long stallTimeoutMillis) {
+public record TransferTimeouts(long startTimeoutMillis, long stallTimeoutMillis) {
 
   private static final long MAX_START_FACTOR = 2;
   private static final int MAX_STALL_DOUBLINGS = 3;
@@ -19,8 +19,8 @@
    * @param failures number of failed attempts in a row
    * @return these timeouts for the first attempt, longer ones for later attempts
    */
-  public TransferLimits afterFailures(int failures) {
-    return new TransferLimits(
+  public TransferTimeouts afterFailures(int failures) {
+    return new TransferTimeouts(
         startTimeoutMillis * Math.min(1 + failures, MAX_START_FACTOR),
         stallTimeoutMillis << Math.min(failures, MAX_STALL_DOUBLINGS));
   }
@@ -31,7 +31,7 @@
    * @param holdMillis how long the server may hold the request
    * @return these timeouts with a later start of the response
    */
-  public TransferLimits afterHold(long holdMillis) {
-    return new TransferLimits(startTimeoutMillis + holdMillis, stallTimeoutMillis);
+  public TransferTimeouts afterHold(long holdMillis) {
+    return new TransferTimeouts(startTimeoutMillis + holdMillis, stallTimeoutMillis);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/watch/ChangeFeed.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/ChangeFeed.java
@@ -15,7 +15,7 @@
    * @return as many rows as fit in one response, from one consistent snapshot; completes with a
    *     {@link org.hornbeamusher.failure.HornbeamusherException} while the service is unavailable
    */
-  CompletableFuture<Page> page(String table, String after, int failures);
+  CompletableFuture<TablePage> page(String table, String after, int failures);
 
   /**
    * Reads the changes since a revision, with a long poll.
@@ -26,6 +26,6 @@
    * @param failures number of failed reads in a row; retries get longer timeouts
    * @return the changes, possibly none; empty if the history no longer contains the revision
    */
-  CompletableFuture<Optional<Changes>> since(
+  CompletableFuture<Optional<TableChanges>> since(
       String table, long revision, long waitMillis, int failures);
 }
--- a/runtime/src/main/java/org/hornbeamusher/watch/PagedRead.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/PagedRead.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.hornbeamusher.transfer.Transfer;
+import org.hornbeamusher.transfer.TransferStats;
 
 /**
  * Collects the pages of a table that is being read.
@@ -16,7 +16,7 @@
 final class PagedRead {
 
   private final List<ChangedRow> rows = new ArrayList<>();
-  private Transfer transfer = Transfer.NONE;
+  private TransferStats transfer = TransferStats.NONE;
   private long revision;
   private int pages;
   private boolean more = true;
@@ -24,14 +24,14 @@
   private long requestedMillis;
 
   /** Adds the next page, which was requested at the given time. */
-  void add(Page page, long pageRequestedMillis) {
+  void add(TablePage page, long pageRequestedMillis) {
     if (pages == 0) {
       revision = page.revision();
       requestedMillis = pageRequestedMillis;
     }
     pages++;
     rows.addAll(page.rows());
-    transfer = transfer.and(page.transfer());
+    transfer = transfer.plus(page.transfer());
     more = page.more() && !page.rows().isEmpty();
   }
 
@@ -49,7 +49,7 @@
     return !more;
   }
 
-  Changes changes() {
-    return new Changes(rows, revision, true, transfer);
+  TableChanges changes() {
+    return new TableChanges(rows, revision, true, transfer);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/watch/Changes.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/TableChanges.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.watch;
 
 import java.util.List;
-import org.hornbeamusher.transfer.Transfer;
+import org.hornbeamusher.transfer.TransferStats;
 
 /**
  * The content or the changes of a table, as returned by a table service.
@@ -11,10 +11,11 @@
  * @param complete whether these are all rows of the table, not only the changed ones
  * @param transfer duration and size of the response
  */
-public record Changes(List<ChangedRow> rows, long revision, boolean complete, Transfer transfer) {
+public record TableChanges(
+    List<ChangedRow> rows, long revision, boolean complete, TransferStats transfer) {
 
   /** Copies the list. */
-  public Changes {
+  public TableChanges {
     rows = List.copyOf(rows);
   }
 
@@ -25,7 +26,7 @@
    * @param revision the service's newest revision
    * @param complete whether these are all rows of the table
    */
-  public Changes(List<ChangedRow> rows, long revision, boolean complete) {
-    this(rows, revision, complete, Transfer.NONE);
+  public TableChanges(List<ChangedRow> rows, long revision, boolean complete) {
+    this(rows, revision, complete, TransferStats.NONE);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/watch/Page.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/TablePage.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.watch;
 
 import java.util.List;
-import org.hornbeamusher.transfer.Transfer;
+import org.hornbeamusher.transfer.TransferStats;
 
 /**
  * Some rows of a table in the order of their keys.
@@ -11,10 +11,11 @@
  * @param more whether rows with greater keys follow
  * @param transfer duration and size of the response
  */
-public record Page(List<ChangedRow> rows, long revision, boolean more, Transfer transfer) {
+public record TablePage(
+    List<ChangedRow> rows, long revision, boolean more, TransferStats transfer) {
 
   /** Copies the list. */
-  public Page {
+  public TablePage {
     rows = List.copyOf(rows);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/watch/TableWatch.java
+++ b/runtime/src/main/java/org/hornbeamusher/watch/TableWatch.java
@@ -7,7 +7,7 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.loop.EventLoop;
 import org.hornbeamusher.transfer.IncompleteTransferException;
-import org.hornbeamusher.transfer.Transfer;
+import org.hornbeamusher.transfer.TransferStats;
 
 /**
  * Follows one table by long polling.
@@ -99,14 +99,14 @@
      * @param requestedMillis when the request was sent, by the watch's clock; all changes
      *     acknowledged before that time have been received
      */
-    void received(Changes changes, long requestedMillis);
+    void received(TableChanges changes, long requestedMillis);
 
     /**
      * Called when a request has failed; it is retried.
      *
      * @param requestedMillis when the request was sent, by the watch's clock
      */
-    default void unanswered(long requestedMillis) {}
+    default void readFailed(long requestedMillis) {}
   }
 
   /** Starts to follow the table. */
@@ -193,13 +193,13 @@
           } else {
             recordFailure(HornbeamusherException.from(thrown), request);
             discardStalePages();
-            listener.unanswered(request.sentMillis());
+            listener.readFailed(request.sentMillis());
             loop.after(retryMillis(request), this::sendRequest);
           }
         });
   }
 
-  private void pageReceived(Page page, long requestedMillis) {
+  private void pageReceived(TablePage page, long requestedMillis) {
     pagedRead.add(page, requestedMillis);
     if (!pagedRead.isComplete()) {
       sendRequest();
@@ -210,7 +210,7 @@
     applyChanges(completedRead.changes(), completedRead.requestedMillis());
   }
 
-  private void changesReceived(Optional<Changes> changes, long requestedMillis) {
+  private void changesReceived(Optional<TableChanges> changes, long requestedMillis) {
     if (changes.isEmpty()) {
       revision = NO_REVISION;
       sendRequest();
@@ -219,7 +219,7 @@
     applyChanges(changes.get(), requestedMillis);
   }
 
-  private void applyChanges(Changes changes, long requestedMillis) {
+  private void applyChanges(TableChanges changes, long requestedMillis) {
     revision = Math.max(revision, changes.revision());
     confirmedMillis = requestedMillis;
     if (stale && ageMillis() < settings.staleMillis()) {
@@ -263,7 +263,8 @@
           failure.getMessage());
     }
     failures++;
-    long received = IncompleteTransferException.received(failure).orElse(Transfer.NONE).bytes();
+    long received =
+        IncompleteTransferException.received(failure).orElse(TransferStats.NONE).bytes();
     if (received > 0) {
       interruptedResponses++;
       lastReceivedMillis = clock.millis();
--- a/runtime/src/main/java/org/hornbeamusher/wire/ForwardingListener.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/ForwardingListener.java
@@ -27,12 +27,12 @@
   }
 
   @Override
-  public long digest() {
-    return listener.digest();
+  public long documentDigest() {
+    return listener.documentDigest();
   }
 
   @Override
-  public void heartbeat(WireConnection connection, long digest) {
-    listener.heartbeat(connection, digest);
+  public void heartbeatReceived(WireConnection connection, long digest) {
+    listener.heartbeatReceived(connection, digest);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/wire/LoopConnection.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/LoopConnection.java
@@ -57,8 +57,8 @@
     WireSettings settings = transport.settings();
     this.monitor =
         new HeartbeatMonitor(
-            settings.heartbeatMillis(),
-            Math.toIntExact(settings.silenceMillis() / settings.heartbeatMillis()),
+            settings.heartbeatIntervalMillis(),
+            Math.toIntExact(settings.heartbeatTimeoutMillis() / settings.heartbeatIntervalMillis()),
             transport.clock().millis());
     source.getReadSetter().set(ready -> readable());
     sink.getWriteSetter().set(ready -> flush());
@@ -87,12 +87,12 @@
   }
 
   @Override
-  public boolean receiving() {
+  public boolean receivingLargeMessage() {
     return receiving;
   }
 
   @Override
-  public void stop() {
+  public void close() {
     transport.run(() -> fail(closedFailure()));
   }
 
@@ -171,21 +171,22 @@
     if (!open) {
       return;
     }
-    long digest = listener.digest();
+    long digest = listener.documentDigest();
     if (!spoken || digest != toldDigest) {
       put(new Message.Heartbeat(heartbeats++, digest));
       toldDigest = digest;
     }
     spoken = false;
     long now = transport.clock().millis();
-    receiving &= monitor.silentMillis(now) < transport.settings().silenceMillis() / 2;
-    if (monitor.silent(now)) {
+    receiving &=
+        monitor.millisSinceReceived(now) < transport.settings().heartbeatTimeoutMillis() / 2;
+    if (monitor.checkTimedOut(now)) {
       fail(silentFailure());
     }
   }
 
   private HornbeamusherException silentFailure() {
-    return session.silent(monitor.silentMillis(transport.clock().millis()), this::address);
+    return session.silent(monitor.millisSinceReceived(transport.clock().millis()), this::address);
   }
 
   private HornbeamusherException closedFailure() {
--- a/runtime/src/main/java/org/hornbeamusher/wire/LoopConnector.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/LoopConnector.java
@@ -34,7 +34,7 @@
     this.address = address;
     this.own = own;
     this.listener = listener;
-    this.pace = new ConnectPace(transport.settings().connectMillis());
+    this.pace = new ConnectPace(transport.settings().maxConnectTimeoutMillis());
   }
 
   @Override
@@ -48,7 +48,7 @@
         () -> {
           stopped = true;
           if (current != null) {
-            current.stop();
+            current.close();
           }
         });
   }
@@ -83,7 +83,7 @@
       return;
     }
     if (stopped) {
-      current.stop();
+      current.close();
     }
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/wire/LoopServer.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/LoopServer.java
@@ -67,7 +67,7 @@
   @Override
   public void stop() {
     IoUtils.safeClose(server);
-    transport.run(() -> List.copyOf(connections).forEach(WireConnection::stop));
+    transport.run(() -> List.copyOf(connections).forEach(WireConnection::close));
   }
 
   /**
--- a/runtime/src/main/java/org/hornbeamusher/wire/LoopTransport.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/LoopTransport.java
@@ -109,7 +109,7 @@
   }
 
   private void tickLater() {
-    later(this::tick, settings.heartbeatMillis());
+    later(this::tick, settings.heartbeatIntervalMillis());
   }
 
   private void tick() {
