--- a/runtime/src/main/java/org/hornbeamusher/wire/Message.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/Message.java
@@ -58,7 +58,7 @@
    * @param callerWeight the caller's part of the service's share
    * @param queueLimit most requests of the service that may wait
    * @param idempotencyKey the caller's key, empty for a repeatable request
-   * @param credit how many bytes of answer may be sent before more credit comes
+   * @param creditBytes how many bytes of answer may be sent before more credit comes
    */
   record Dispatch(
       long attempt,
@@ -80,7 +80,7 @@
       int callerWeight,
       int queueLimit,
       String idempotencyKey,
-      long credit)
+      long creditBytes)
       implements Message {}
 
   /**
@@ -116,13 +116,13 @@
    * @param chunks how many parts there were
    * @param checksum CRC-32C over all parts
    */
-  record Closing(long attempt, long chunks, long checksum) implements Message {}
+  record ResponseEnd(long attempt, long chunks, long checksum) implements Message {}
 
   /**
    * The attempt ended without a whole answer (agent to entry).
    *
    * @param attempt the attempt
-   * @param failure the failure's number in the catalogue
+   * @param failureNumber the failure's number in the catalogue
    * @param outcome {@code not-run}, {@code ran} or {@code unknown}
    * @param retryAfterMillis when to try again, or -1
    * @param detail fills the failure's message
@@ -130,7 +130,7 @@
    */
   record Failed(
       long attempt,
-      int failure,
+      int failureNumber,
       String outcome,
       long retryAfterMillis,
       String detail,
@@ -156,17 +156,17 @@
    * The sender lives (both ways).
    *
    * @param sequence counts the sender's heartbeats on this connection
-   * @param documents the sender's digest of documents, for spreading
+   * @param documentDigest the sender's digest of documents, for spreading
    */
-  record Heartbeat(long sequence, long documents) implements Message {}
+  record Heartbeat(long sequence, long documentDigest) implements Message {}
 
   /**
    * What an agent's endpoint holds and does (agent to entry).
    *
    * @param running requests in the batch
    * @param queued requests that wait
-   * @param batch most requests it runs at once
-   * @param slots most adapters it holds
+   * @param batchCapacity most requests it runs at once
+   * @param adapterCapacity most adapters it holds
    * @param queueWaitMillis expected wait with a resident adapter
    * @param loadWaitMillis expected wait for a load
    * @param resident the adapters it holds, {@code service/adapter@version}
@@ -174,8 +174,8 @@
   record LoadReport(
       int running,
       int queued,
-      int batch,
-      int slots,
+      int batchCapacity,
+      int adapterCapacity,
       long queueWaitMillis,
       long loadWaitMillis,
       List<String> resident)
@@ -197,9 +197,9 @@
    * Asks for a document, or for a digest (both ways).
    *
    * @param service the service; empty asks for the digest
-   * @param have the version the sender holds, 0 for none
+   * @param haveVersion the version the sender holds, 0 for none
    */
-  record DocumentPull(String service, long have) implements Message {}
+  record DocumentPull(String service, long haveVersion) implements Message {}
 
   /**
    * What the sender has of a document beyond what was asked for (both ways).
@@ -217,25 +217,25 @@
    * @param partner for whom
    * @param demand weighted waiting demand; 0 withdraws
    */
-  record PermitAsk(String store, String endpoint, String partner, double demand)
+  record PermitRequest(String store, String endpoint, String partner, double demand)
       implements Message {}
 
   /**
    * A turn at the weight store (agent to agent).
    *
    * @param store the weight store
-   * @param grant identifies the turn
+   * @param grantId identifies the turn
    * @param expiresMillis when the turn ends by itself
    */
-  record PermitGrant(String store, long grant, long expiresMillis) implements Message {}
+  record PermitGrant(String store, long grantId, long expiresMillis) implements Message {}
 
   /**
    * The turn is over (agent to agent).
    *
    * @param store the weight store
-   * @param grant the turn
+   * @param grantId the turn
    */
-  record PermitDone(String store, long grant) implements Message {}
+  record PermitRelease(String store, long grantId) implements Message {}
 
   /**
    * Endpoints crashed while they ran this request (both ways).
@@ -253,9 +253,10 @@
    * @param adapter {@code model/adapter}, or the model alone
    * @param version the adapter's version
    * @param rank the request's urgency, 0 first
-   * @param unreadTokens how much of its prompt has to be read
-   * @param waitMillis for how long a place is of use
-   * @param aimMillis how soon its first event should come; negative when it is late already
+   * @param pendingPromptTokens how much of its prompt has to be read
+   * @param maxWaitMillis for how long a place is of use
+   * @param firstEventTargetMillis how soon its first event should come; negative when it is late
+   *     already
    */
   record Reserve(
       long reservation,
@@ -263,9 +264,9 @@
       String adapter,
       long version,
       int rank,
-      long unreadTokens,
-      long waitMillis,
-      long aimMillis)
+      long pendingPromptTokens,
+      long maxWaitMillis,
+      long firstEventTargetMillis)
       implements Message {}
 
   /**
@@ -273,37 +274,37 @@
    *
    * @param reservation the reservation
    */
-  record Granted(long reservation) implements Message {}
+  record ReservationGranted(long reservation) implements Message {}
 
   /**
    * The endpoint has read the prompt of a request (entry to agent).
    *
    * @param reservation the reservation
    */
-  record PromptRead(long reservation) implements Message {}
+  record PromptProcessed(long reservation) implements Message {}
 
   /**
    * A request has ended or is not wanted any more (entry to agent).
    *
    * @param reservation the reservation
    */
-  record Release(long reservation) implements Message {}
+  record ReservationRelease(long reservation) implements Message {}
 
   /**
    * What an agent's endpoint holds; sent when it changes (agent to entry).
    *
    * @param endpoint the endpoint's id; empty while it is down
-   * @param held what can be used, {@code model/adapter@version}
-   * @param coming what is on its way
-   * @param entries how many entries there are, by what the agent knows
+   * @param resident what can be used, {@code model/adapter@version}
+   * @param loading what is on its way
+   * @param entryCount how many entries there are, by what the agent knows
    * @param leaving whether the endpoint takes no new work
    * @param startMillis when this life of the endpoint started; 0 when that is not known
    */
   record Holdings(
       String endpoint,
-      List<String> held,
-      List<String> coming,
-      int entries,
+      List<String> resident,
+      List<String> loading,
+      int entryCount,
       boolean leaving,
       long startMillis)
       implements Message {}
@@ -312,22 +313,23 @@
    * What other entries have at the agent's endpoint (agent to entry).
    *
    * @param requests running or waiting
-   * @param unreadTokens of their prompts
-   * @param sparePlaces places for adapters that a load could have at once, less those that wait for
+   * @param pendingPromptTokens of their prompts
+   * @param spareSlots places for adapters that a load could have at once, less those that wait for
    *     one; negative when adapters wait for a place
    */
-  record PeerLoad(int requests, long unreadTokens, int sparePlaces) implements Message {}
+  record PeerLoad(int requests, long pendingPromptTokens, int spareSlots) implements Message {}
 
   /**
    * What it costs to have an adapter at the agent's engine, as far as the agent has learnt (agent
    * to entry).
    *
-   * @param storeMillis a load from the weight store
-   * @param copyMillis a load of which the engine has a copy
-   * @param placeMillis until a place is free for the next adapter that waits for one
-   * @param copies adapters outside its places that the engine has copies of
+   * @param storeLoadMillis a load from the weight store
+   * @param cachedLoadMillis a load of which the engine has a copy
+   * @param slotWaitMillis until a place is free for the next adapter that waits for one
+   * @param cachedAdapters adapters outside its places that the engine has copies of
    */
-  record EngineCosts(long storeMillis, long copyMillis, long placeMillis, int copies)
+  record EngineCosts(
+      long storeLoadMillis, long cachedLoadMillis, long slotWaitMillis, int cachedAdapters)
       implements Message {}
 
   /**
@@ -342,34 +344,40 @@
    * What the other entries have admitted of client accounts' quotas (agent to entry).
    *
    * @param increments units by account since the last update on this connection
-   * @param reachable entries that report to the agent, the receiver included
-   * @param entries entries that are connected to the agent
+   * @param reachableEntryCount entries that report to the agent, the receiver included
+   * @param entryCount entries that are connected to the agent
    */
-  record UsageUpdate(Map<String, Long> increments, int reachable, int entries) implements Message {}
+  record UsageUpdate(Map<String, Long> increments, int reachableEntryCount, int entryCount)
+      implements Message {}
 
   /**
    * Asks whether a request may be sent to an endpoint that limits the rate of its requests (entry
    * to agent).
    *
-   * @param number counts the entry's questions
+   * @param requestNumber counts the entry's questions
    * @param endpoint the endpoint's id
    * @param perSecond the limit that the endpoint stated to the entry
-   * @param statedAgoMillis how long ago it did
-   * @param mostWaitMillis how long the request can wait
+   * @param advertisedAgoMillis how long ago it did
+   * @param maxWaitMillis how long the request can wait
    */
   record RatePermitRequest(
-      long number, String endpoint, double perSecond, long statedAgoMillis, long mostWaitMillis)
+      long requestNumber,
+      String endpoint,
+      double perSecond,
+      long advertisedAgoMillis,
+      long maxWaitMillis)
       implements Message {}
 
   /**
    * Whether a request may be sent to an endpoint that limits the rate of its requests (agent to
    * entry).
    *
-   * @param number the entry's question
+   * @param requestNumber the entry's question
    * @param granted whether it may
    * @param waitMillis after how long; or when the next permit is free
    */
-  record RatePermitReply(long number, boolean granted, long waitMillis) implements Message {}
+  record RatePermitResponse(long requestNumber, boolean granted, long waitMillis)
+      implements Message {}
 
   /**
    * An endpoint that limited the rate of its requests states no limit any more (entry to agent).
--- a/runtime/src/main/java/org/hornbeamusher/wire/MessageCodec.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/MessageCodec.java
@@ -116,12 +116,12 @@
           begin(p, HEAD, 3).packLong(m.attempt()).packInt(m.status()).packString(m.contentType());
       case Message.Chunk m ->
           packBytes(begin(p, CHUNK, 3).packLong(m.attempt()).packLong(m.sequence()), m.bytes());
-      case Message.Closing m ->
+      case Message.ResponseEnd m ->
           begin(p, CLOSING, 3).packLong(m.attempt()).packLong(m.chunks()).packLong(m.checksum());
       case Message.Failed m ->
           begin(p, FAILED, 6)
               .packLong(m.attempt())
-              .packInt(m.failure())
+              .packInt(m.failureNumber())
               .packString(m.outcome())
               .packLong(m.retryAfterMillis())
               .packString(m.detail())
@@ -129,15 +129,15 @@
       case Message.Cancel m -> begin(p, CANCEL, 1).packLong(m.attempt());
       case Message.Credit m -> begin(p, CREDIT, 2).packLong(m.attempt()).packLong(m.bytes());
       case Message.Heartbeat m ->
-          begin(p, HEARTBEAT, 2).packLong(m.sequence()).packLong(m.documents());
+          begin(p, HEARTBEAT, 2).packLong(m.sequence()).packLong(m.documentDigest());
       case Message.LoadReport m -> packLoadReport(p, m);
       case Message.Leaving m -> begin(p, LEAVING, 0);
       case Message.DocumentDigest m -> packNumbers(begin(p, DOCUMENT_DIGEST, 1), m.versions());
       case Message.DocumentPull m ->
-          begin(p, DOCUMENT_PULL, 2).packString(m.service()).packLong(m.have());
+          begin(p, DOCUMENT_PULL, 2).packString(m.service()).packLong(m.haveVersion());
       case Message.DocumentPush m ->
           packBytes(begin(p, DOCUMENT_PUSH, 2).packString(m.service()), m.content());
-      case Message.PermitAsk m ->
+      case Message.PermitRequest m ->
           begin(p, PERMIT_ASK, 4)
               .packString(m.store())
               .packString(m.endpoint())
@@ -146,10 +146,10 @@
       case Message.PermitGrant m ->
           begin(p, PERMIT_GRANT, 3)
               .packString(m.store())
-              .packLong(m.grant())
+              .packLong(m.grantId())
               .packLong(m.expiresMillis());
-      case Message.PermitDone m ->
-          begin(p, PERMIT_DONE, 2).packString(m.store()).packLong(m.grant());
+      case Message.PermitRelease m ->
+          begin(p, PERMIT_DONE, 2).packString(m.store()).packLong(m.grantId());
       case Message.CrashNotice m ->
           begin(p, CRASH_NOTICE, 2).packLong(m.fingerprint()).packInt(m.crashes());
       case Message.Reserve m ->
@@ -159,39 +159,39 @@
               .packString(m.adapter())
               .packLong(m.version())
               .packInt(m.rank())
-              .packLong(m.unreadTokens())
-              .packLong(m.waitMillis())
-              .packLong(m.aimMillis());
-      case Message.Granted m -> begin(p, GRANTED, 1).packLong(m.reservation());
-      case Message.PromptRead m -> begin(p, PROMPT_READ, 1).packLong(m.reservation());
-      case Message.Release m -> begin(p, RELEASE, 1).packLong(m.reservation());
+              .packLong(m.pendingPromptTokens())
+              .packLong(m.maxWaitMillis())
+              .packLong(m.firstEventTargetMillis());
+      case Message.ReservationGranted m -> begin(p, GRANTED, 1).packLong(m.reservation());
+      case Message.PromptProcessed m -> begin(p, PROMPT_READ, 1).packLong(m.reservation());
+      case Message.ReservationRelease m -> begin(p, RELEASE, 1).packLong(m.reservation());
       case Message.Holdings m -> packHoldings(p, m);
       case Message.PeerLoad m ->
           begin(p, PEER_LOAD, 3)
               .packInt(m.requests())
-              .packLong(m.unreadTokens())
-              .packInt(m.sparePlaces());
+              .packLong(m.pendingPromptTokens())
+              .packInt(m.spareSlots());
       case Message.EngineCosts m ->
           begin(p, ENGINE_COSTS, 4)
-              .packLong(m.storeMillis())
-              .packLong(m.copyMillis())
-              .packLong(m.placeMillis())
-              .packInt(m.copies());
+              .packLong(m.storeLoadMillis())
+              .packLong(m.cachedLoadMillis())
+              .packLong(m.slotWaitMillis())
+              .packInt(m.cachedAdapters());
       case Message.UsageReport m -> packNumbers(begin(p, USAGE_REPORT, 1), m.increments());
       case Message.UsageUpdate m -> {
         packNumbers(begin(p, USAGE_UPDATE, 3), m.increments());
-        p.packInt(m.reachable()).packInt(m.entries());
+        p.packInt(m.reachableEntryCount()).packInt(m.entryCount());
       }
       case Message.RatePermitRequest m ->
           begin(p, RATE_PERMIT_REQUEST, 5)
-              .packLong(m.number())
+              .packLong(m.requestNumber())
               .packString(m.endpoint())
               .packDouble(m.perSecond())
-              .packLong(m.statedAgoMillis())
-              .packLong(m.mostWaitMillis());
-      case Message.RatePermitReply m ->
+              .packLong(m.advertisedAgoMillis())
+              .packLong(m.maxWaitMillis());
+      case Message.RatePermitResponse m ->
           begin(p, RATE_PERMIT_REPLY, 3)
-              .packLong(m.number())
+              .packLong(m.requestNumber())
               .packBoolean(m.granted())
               .packLong(m.waitMillis());
       case Message.RateLimitLifted m ->
@@ -221,15 +221,15 @@
         .packInt(m.callerWeight())
         .packInt(m.queueLimit())
         .packString(m.idempotencyKey())
-        .packLong(m.credit());
+        .packLong(m.creditBytes());
   }
 
   private static void packLoadReport(MessagePacker p, Message.LoadReport m) throws IOException {
     begin(p, LOAD_REPORT, 7)
         .packInt(m.running())
         .packInt(m.queued())
-        .packInt(m.batch())
-        .packInt(m.slots())
+        .packInt(m.batchCapacity())
+        .packInt(m.adapterCapacity())
         .packLong(m.queueWaitMillis())
         .packLong(m.loadWaitMillis())
         .packArrayHeader(m.resident().size());
@@ -247,9 +247,9 @@
 
   private static void packHoldings(MessagePacker p, Message.Holdings m) throws IOException {
     begin(p, HOLDINGS, 6).packString(m.endpoint());
-    packTexts(p, m.held());
-    packTexts(p, m.coming());
-    p.packInt(m.entries()).packBoolean(m.leaving()).packLong(m.startMillis());
+    packTexts(p, m.resident());
+    packTexts(p, m.loading());
+    p.packInt(m.entryCount()).packBoolean(m.leaving()).packLong(m.startMillis());
   }
 
   private static void packTexts(MessagePacker p, List<String> texts) throws IOException {
@@ -283,7 +283,7 @@
       case STARTED -> new Message.Started(r.number(), r.number());
       case HEAD -> new Message.Head(r.number(), r.integer(), r.text());
       case CHUNK -> new Message.Chunk(r.number(), r.number(), r.bytes());
-      case CLOSING -> new Message.Closing(r.number(), r.number(), r.number());
+      case CLOSING -> new Message.ResponseEnd(r.number(), r.number(), r.number());
       case FAILED ->
           new Message.Failed(r.number(), r.integer(), r.text(), r.number(), r.text(), r.flag());
       case CANCEL -> new Message.Cancel(r.number());
@@ -294,9 +294,9 @@
       case DOCUMENT_DIGEST -> new Message.DocumentDigest(r.numbersByText());
       case DOCUMENT_PULL -> new Message.DocumentPull(r.text(), r.number());
       case DOCUMENT_PUSH -> new Message.DocumentPush(r.text(), r.bytes());
-      case PERMIT_ASK -> new Message.PermitAsk(r.text(), r.text(), r.text(), r.real());
+      case PERMIT_ASK -> new Message.PermitRequest(r.text(), r.text(), r.text(), r.real());
       case PERMIT_GRANT -> new Message.PermitGrant(r.text(), r.number(), r.number());
-      case PERMIT_DONE -> new Message.PermitDone(r.text(), r.number());
+      case PERMIT_DONE -> new Message.PermitRelease(r.text(), r.number());
       case CRASH_NOTICE -> new Message.CrashNotice(r.number(), r.integer());
       case RESERVE ->
           new Message.Reserve(
@@ -308,9 +308,9 @@
               r.number(),
               r.number(),
               r.number());
-      case GRANTED -> new Message.Granted(r.number());
-      case PROMPT_READ -> new Message.PromptRead(r.number());
-      case RELEASE -> new Message.Release(r.number());
+      case GRANTED -> new Message.ReservationGranted(r.number());
+      case PROMPT_READ -> new Message.PromptProcessed(r.number());
+      case RELEASE -> new Message.ReservationRelease(r.number());
       case HOLDINGS ->
           new Message.Holdings(r.text(), r.texts(), r.texts(), r.integer(), r.flag(), r.number());
       case PEER_LOAD -> new Message.PeerLoad(r.integer(), r.number(), r.integer());
@@ -319,7 +319,7 @@
       case USAGE_UPDATE -> new Message.UsageUpdate(r.numbersByText(), r.integer(), r.integer());
       case RATE_PERMIT_REQUEST ->
           new Message.RatePermitRequest(r.number(), r.text(), r.real(), r.number(), r.number());
-      case RATE_PERMIT_REPLY -> new Message.RatePermitReply(r.number(), r.flag(), r.number());
+      case RATE_PERMIT_REPLY -> new Message.RatePermitResponse(r.number(), r.flag(), r.number());
       case RATE_LIMIT_LIFTED -> new Message.RateLimitLifted(r.text(), r.number());
       default -> new Message.Unknown(type);
     };
--- a/runtime/src/main/java/org/hornbeamusher/wire/ThreadedConnection.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/ThreadedConnection.java
@@ -30,9 +30,9 @@
  *
  * <p>Something between the ends may lose track of a connection, and then neither end hears of it:
  * reads block for good while new connections work. Both ends therefore send heartbeats, and an end
- * that receives nothing for {@link WireSettings#silenceMillis} closes the connection. Every byte
- * counts: a large message takes longer than that on a slow link. Both threads look, as the one that
- * writes may be stuck in a large message that nobody reads.
+ * that receives nothing for {@link WireSettings#heartbeatTimeoutMillis} closes the connection.
+ * Every byte counts: a large message takes longer than that on a slow link. Both threads look, as
+ * the one that writes may be stuck in a large message that nobody reads.
  */
 final class ThreadedConnection implements WireConnection {
 
@@ -79,11 +79,11 @@
     this.settings = settings;
     this.clock = clock;
     this.session = new WireSession(own, listener);
-    this.outgoing = new LinkedBlockingQueue<>(settings.outgoingMessages());
+    this.outgoing = new LinkedBlockingQueue<>(settings.maxQueuedMessages());
     this.monitor =
         new HeartbeatMonitor(
-            settings.heartbeatMillis(),
-            Math.toIntExact(settings.silenceMillis() / settings.heartbeatMillis()),
+            settings.heartbeatIntervalMillis(),
+            Math.toIntExact(settings.heartbeatTimeoutMillis() / settings.heartbeatIntervalMillis()),
             clock.millis());
   }
 
@@ -94,7 +94,7 @@
   }
 
   @Override
-  public void stop() {
+  public void close() {
     fail(closedFailure());
   }
 
@@ -121,14 +121,14 @@
   }
 
   @Override
-  public boolean receiving() {
+  public boolean receivingLargeMessage() {
     return partBytes > BUFFER_BYTES
-        && clock.millis() - receivedMillis < settings.silenceMillis() / 2;
+        && clock.millis() - receivedMillis < settings.heartbeatTimeoutMillis() / 2;
   }
 
   private void readLoop() {
     try {
-      socket.setSoTimeout(Math.toIntExact(settings.heartbeatMillis()));
+      socket.setSoTimeout(Math.toIntExact(settings.heartbeatIntervalMillis()));
       DataInputStream in =
           new DataInputStream(
               new BufferedInputStream(new MonitoredStream(socket.getInputStream()), BUFFER_BYTES));
@@ -159,14 +159,14 @@
           new DataOutputStream(new BufferedOutputStream(socket.getOutputStream(), BUFFER_BYTES));
       write(out, own);
       out.flush();
-      long nextHeartbeat = clock.millis() + settings.heartbeatMillis();
+      long nextHeartbeat = clock.millis() + settings.heartbeatIntervalMillis();
       while (!closed.get()) {
         long wait = Math.max(0, nextHeartbeat - clock.millis());
         Message next = outgoing.poll(wait, TimeUnit.MILLISECONDS);
         writeReady(out, next);
         if (clock.millis() >= nextHeartbeat) {
-          write(out, new Message.Heartbeat(heartbeats++, listener.digest()));
-          nextHeartbeat = clock.millis() + settings.heartbeatMillis();
+          write(out, new Message.Heartbeat(heartbeats++, listener.documentDigest()));
+          nextHeartbeat = clock.millis() + settings.heartbeatIntervalMillis();
         }
         out.flush();
         checkSilence();
@@ -193,7 +193,7 @@
 
   private void checkSilence() {
     synchronized (monitor) {
-      if (!monitor.silent(clock.millis())) {
+      if (!monitor.checkTimedOut(clock.millis())) {
         return;
       }
     }
@@ -202,7 +202,7 @@
 
   private HornbeamusherException silentFailure() {
     synchronized (monitor) {
-      return session.silent(monitor.silentMillis(clock.millis()), this::address);
+      return session.silent(monitor.millisSinceReceived(clock.millis()), this::address);
     }
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireConnection.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireConnection.java
@@ -6,7 +6,7 @@
  * <p>What may be under way is bounded: a peer that stops reading costs the connection, not memory.
  * Something between the ends may lose track of a connection, and then neither end hears of it while
  * new connections work. Both ends therefore send heartbeats, and an end that hears nothing for
- * {@link WireSettings#silenceMillis} closes the connection.
+ * {@link WireSettings#heartbeatTimeoutMillis} closes the connection.
  */
 public interface WireConnection {
 
@@ -38,8 +38,8 @@
    *
    * @return whether part of one is here and more has come lately
    */
-  boolean receiving();
+  boolean receivingLargeMessage();
 
   /** Closes the connection; the listener hears of it. */
-  void stop();
+  void close();
 }
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireConnector.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireConnector.java
@@ -47,7 +47,7 @@
     this.settings = settings;
     this.sockets = sockets;
     this.clock = clock;
-    this.pace = new ConnectPace(settings.connectMillis());
+    this.pace = new ConnectPace(settings.maxConnectTimeoutMillis());
   }
 
   @Override
@@ -60,7 +60,7 @@
     stopped = true;
     WireConnection open = current;
     if (open != null) {
-      open.stop();
+      open.close();
     }
     thread.interrupt();
   }
@@ -107,7 +107,7 @@
     current = connection;
     connection.start();
     if (stopped) {
-      connection.stop();
+      connection.close();
     }
     end.await();
     return connection.peer() != null;
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireListener.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireListener.java
@@ -34,7 +34,7 @@
    *
    * @return a hash; 0 when this process holds none
    */
-  default long digest() {
+  default long documentDigest() {
     return 0;
   }
 
@@ -44,5 +44,5 @@
    * @param connection the connection
    * @param digest the peer's digest of documents
    */
-  default void heartbeat(WireConnection connection, long digest) {}
+  default void heartbeatReceived(WireConnection connection, long digest) {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireServer.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireServer.java
@@ -71,7 +71,7 @@
     } catch (IOException ignored) {
       // The process is leaving; a listener that fails to close ends with it.
     }
-    connections.forEach(WireConnection::stop);
+    connections.forEach(WireConnection::close);
   }
 
   /**
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireSession.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireSession.java
@@ -33,7 +33,7 @@
       case Message.Hello hello -> greet(connection, hello);
       case Message.Heartbeat heartbeat -> {
         if (peer != null) {
-          listener.heartbeat(connection, heartbeat.documents());
+          listener.heartbeatReceived(connection, heartbeat.documentDigest());
         }
       }
       case Message.Unknown unknown -> {}
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireSettings.java
@@ -3,13 +3,16 @@
 /**
  * Intervals and bounds of connections.
  *
- * @param heartbeatMillis how often each end says that it lives
- * @param silenceMillis after how long without a word a connection is given up
- * @param connectMillis how long opening a connection may take at the most
- * @param outgoingMessages most messages that wait to be written
+ * @param heartbeatIntervalMillis how often each end says that it lives
+ * @param heartbeatTimeoutMillis after how long without a word a connection is given up
+ * @param maxConnectTimeoutMillis how long opening a connection may take at the most
+ * @param maxQueuedMessages most messages that wait to be written
  */
 public record WireSettings(
-    long heartbeatMillis, long silenceMillis, int connectMillis, int outgoingMessages) {
+    long heartbeatIntervalMillis,
+    long heartbeatTimeoutMillis,
+    int maxConnectTimeoutMillis,
+    int maxQueuedMessages) {
 
   /**
    * Figures for today: five heartbeats a silence, so that one lost or late one gives nothing up,
--- a/runtime/src/test/java/org/hornbeamusher/agent/AgentBackoffTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/agent/AgentBackoffTest.java
@@ -6,7 +6,7 @@
 import io.undertow.util.Headers;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.hornbeamusher.availability.StatedRetryAfter;
+import org.hornbeamusher.availability.RetryAfter;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.wire.Message;
 import org.junit.jupiter.api.Test;
@@ -31,7 +31,7 @@
       awaitEnd(agent, 2);
       assertEquals(List.of("/first"), agent.paths());
       Message.Failed returned = agent.failures().get(0);
-      assertEquals(FailureType.ENDPOINT_BACKOFF.number(), returned.failure());
+      assertEquals(FailureType.ENDPOINT_BACKOFF.number(), returned.failureNumber());
       assertEquals("not-run", returned.outcome());
       assertEquals(BACKOFF_MILLIS, returned.retryAfterMillis());
       agent.clock.advance(BACKOFF_MILLIS);
@@ -46,11 +46,11 @@
   void delayedStartIsReturned() throws InterruptedException {
     try (EndpointExecutorFixture agent = new EndpointExecutorFixture(AgentBackoffTest::refuse)) {
       agent.onNextStart(
-          () -> agent.executor.retryAfterStated(new StatedRetryAfter.Millis(BACKOFF_MILLIS)));
+          () -> agent.executor.retryAfterStated(new RetryAfter.Millis(BACKOFF_MILLIS)));
       agent.dispatch(1, "/held-up");
       awaitEnd(agent, 1);
       assertEquals(List.of(), agent.paths());
-      assertEquals(FailureType.ENDPOINT_BACKOFF.number(), agent.failures().get(0).failure());
+      assertEquals(FailureType.ENDPOINT_BACKOFF.number(), agent.failures().get(0).failureNumber());
     }
   }
 
--- a/runtime/src/test/java/org/hornbeamusher/agent/AgentDrainTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/agent/AgentDrainTest.java
@@ -29,7 +29,7 @@
       }
       assertEquals(List.of("/held-up"), agent.paths());
       assertEquals(1, agent.failures().size());
-      assertEquals(FailureType.ENDPOINT_LEAVING.number(), agent.failures().get(0).failure());
+      assertEquals(FailureType.ENDPOINT_LEAVING.number(), agent.failures().get(0).failureNumber());
       assertEquals("not-run", agent.failures().get(0).outcome());
       assertTrue(agent.executor.outstanding() <= 1);
     }
--- a/runtime/src/test/java/org/hornbeamusher/agent/EndpointExecutorFixture.java
+++ b/runtime/src/test/java/org/hornbeamusher/agent/EndpointExecutorFixture.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.hornbeamusher.clock.ManualClock;
-import org.hornbeamusher.endpoint.EngineOrders;
+import org.hornbeamusher.endpoint.EngineOrderClient;
+import org.hornbeamusher.fencing.FencingNumberAllocator;
 import org.hornbeamusher.http.HttpClient;
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.ids.PartnerId;
-import org.hornbeamusher.lease.FencingLease;
 import org.hornbeamusher.scheduling.AgentScheduler;
 import org.hornbeamusher.scheduling.SchedulerSettings;
-import org.hornbeamusher.table.MemoryTable;
+import org.hornbeamusher.table.InMemoryTable;
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireConnection;
 
@@ -52,11 +52,11 @@
                 ID,
                 uri,
                 false,
-                new EngineFencing(new FencingLease(new MemoryTable(), ID, "agent")),
+                new EngineFencing(new FencingNumberAllocator(new InMemoryTable(), ID, "agent")),
                 () -> {}),
             new AgentScheduler(
                 new SchedulerSettings(0, BATCH, 100, 1_000, 1_000, 500, false, Map.of())),
-            new EngineOrders(ID, uri, http, 1_000),
+            new EngineOrderClient(ID, uri, http, 1_000),
             http,
             adapter -> "",
             new NoPermits(),
@@ -120,7 +120,7 @@
   /** Returns the number of requests that have ended at the entry. */
   long ended() {
     return sent.stream()
-        .filter(one -> one instanceof Message.Failed || one instanceof Message.Closing)
+        .filter(one -> one instanceof Message.Failed || one instanceof Message.ResponseEnd)
         .count();
   }
 
@@ -152,12 +152,12 @@
     }
 
     @Override
-    public boolean receiving() {
+    public boolean receivingLargeMessage() {
       return false;
     }
 
     @Override
-    public void stop() {}
+    public void close() {}
   }
 
   private static final class NoPermits implements PermitExchange.LoadPermits {
--- a/runtime/src/test/java/org/hornbeamusher/availability/EndpointAvailabilityTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/availability/EndpointAvailabilityTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -35,7 +35,7 @@
       if (step < 0) {
         now -= step;
       } else {
-        availability.answered(new StatedRetryAfter.Millis(step), now);
+        availability.recordRetryAfter(new RetryAfter.Millis(step), now);
         end = Math.max(end, now + step);
       }
       boolean sent = availability.decide(now) instanceof SendDecision.Now;
@@ -46,66 +46,66 @@
 
   @Test
   void shorterTimeDoesNotEndLongerOne() {
-    endpoint.answered(new StatedRetryAfter.Millis(3_000), 0);
-    endpoint.answered(new StatedRetryAfter.Millis(100), 1_000);
+    endpoint.recordRetryAfter(new RetryAfter.Millis(3_000), 0);
+    endpoint.recordRetryAfter(new RetryAfter.Millis(100), 1_000);
     assertEquals(new SendDecision.Later(2_000), endpoint.decide(1_000));
   }
 
   @Test
   void answerWithoutTimeDoesNotEndBackoff() {
-    endpoint.answered(new StatedRetryAfter.Millis(3_000), 0);
-    endpoint.answered(new StatedRetryAfter.None(), 1_000);
-    endpoint.answered(new StatedRetryAfter.Unreadable(), 1_000);
+    endpoint.recordRetryAfter(new RetryAfter.Millis(3_000), 0);
+    endpoint.recordRetryAfter(new RetryAfter.None(), 1_000);
+    endpoint.recordRetryAfter(new RetryAfter.Unreadable(), 1_000);
     assertEquals(new SendDecision.Later(2_000), endpoint.decide(1_000));
   }
 
   @Test
   void hugeTimeDoesNotOverflow() {
-    endpoint.answered(StatedRetryAfter.parse(List.of("1e300")), 1_000);
+    endpoint.recordRetryAfter(RetryAfter.parse(List.of("1e300")), 1_000);
     assertInstanceOf(SendDecision.Later.class, endpoint.decide(1_000_000));
   }
 
   @Test
   void leavingEndpointNeverAcceptsRequestsAgain() {
-    endpoint.statedLeaving();
+    endpoint.recordLeaving();
     assertEquals(new SendDecision.Never(), endpoint.decide(Long.MAX_VALUE));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "-1", "soon", "NaN", "Infinity", "Wed, 21 Oct 2026 07:28:00 GMT"})
   void invalidTimeIsRejected(String text) {
-    assertInstanceOf(StatedRetryAfter.Unreadable.class, StatedRetryAfter.parse(List.of(text)));
+    assertInstanceOf(RetryAfter.Unreadable.class, RetryAfter.parse(List.of(text)));
   }
 
   /** Guards against a back-off caused by the Retry-After of a redirect or a failure. */
   @ParameterizedTest
   @ValueSource(ints = {200, 301, 421, 500, 502})
   void onlyRefusalsCauseBackoff(int status) {
-    assertEquals(new StatedRetryAfter.None(), StatedRetryAfter.of(status, List.of("3")));
+    assertEquals(new RetryAfter.None(), RetryAfter.of(status, List.of("3")));
   }
 
   @Test
   void longestValidTimeApplies() {
     assertEquals(
-        new StatedRetryAfter.Millis(1_500),
-        StatedRetryAfter.parse(List.of("1", "later", " 1.5 ", "0.2")));
+        new RetryAfter.Millis(1_500), RetryAfter.parse(List.of("1", "later", " 1.5 ", "0.2")));
   }
 
   /** Guards against losing a back-off when a list entry expires and returns. */
   @Test
   void availabilityIsKeptPerIncarnation() {
-    AvailabilityRegister register = new AvailabilityRegister();
-    EndpointAvailability first = register.of(new EndpointLife(ID, 100));
-    assertSame(first, register.of(new EndpointLife(ID, 100)));
-    assertNotSame(first, register.of(new EndpointLife(ID, 200)));
+    AvailabilityRegistry register = new AvailabilityRegistry();
+    EndpointAvailability first = register.of(new EndpointIncarnation(ID, 100));
+    assertSame(first, register.of(new EndpointIncarnation(ID, 100)));
+    assertNotSame(first, register.of(new EndpointIncarnation(ID, 200)));
   }
 
   /** Guards against applying a back-off to the next incarnation if the start time was unknown. */
   @Test
   void availabilityIsNotKeptForTheNextIncarnation() {
-    AvailabilityRegister register = new AvailabilityRegister();
-    EndpointAvailability first = register.of(new EndpointLife(ID, EndpointLife.UNKNOWN_START));
-    assertSame(first, register.of(new EndpointLife(ID, 100)));
-    assertTrue(first != register.of(new EndpointLife(ID, 200)));
+    AvailabilityRegistry register = new AvailabilityRegistry();
+    EndpointAvailability first =
+        register.of(new EndpointIncarnation(ID, EndpointIncarnation.UNKNOWN_START));
+    assertSame(first, register.of(new EndpointIncarnation(ID, 100)));
+    assertTrue(first != register.of(new EndpointIncarnation(ID, 200)));
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimBatcherTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimBatcherTest.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.hornbeamusher.table.CommitResult;
-import org.hornbeamusher.table.MemoryTable;
+import org.hornbeamusher.table.InMemoryTable;
 import org.hornbeamusher.table.Row;
 import org.hornbeamusher.table.RowKey;
 import org.hornbeamusher.table.Table;
@@ -72,7 +72,7 @@
   /** Answers transactions only when told to. */
   private static final class HeldTable implements Table {
 
-    private final MemoryTable rows = new MemoryTable();
+    private final InMemoryTable rows = new InMemoryTable();
     private final List<Integer> sizes = new ArrayList<>();
     private final List<Runnable> held = new ArrayList<>();
 
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimKeeperTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimKeeperTest.java
@@ -14,7 +14,7 @@
 import org.hornbeamusher.ids.ClaimToken;
 import org.hornbeamusher.ids.IdempotencyKey;
 import org.hornbeamusher.ids.ServiceName;
-import org.hornbeamusher.table.MemoryTable;
+import org.hornbeamusher.table.InMemoryTable;
 import org.junit.jupiter.api.Test;
 
 class ClaimKeeperTest {
@@ -23,16 +23,16 @@
   private static final long START = 1_764_700_000_000L;
   private static final long DEADLINE = 10_000;
 
-  private final MemoryTable table = new MemoryTable();
+  private final InMemoryTable table = new InMemoryTable();
   private final ManualClock clock = new ManualClock(START);
   private final IdempotencyKey key = ClaimKey.make(START, 1, 2);
   private int drawn;
-  private final ClaimKeeper first = keeper();
-  private final ClaimKeeper second = keeper();
+  private final ClaimStore first = keeper();
+  private final ClaimStore second = keeper();
 
   @Test
   void firstSendWinsAndLaterOnesWait() {
-    assertInstanceOf(ClaimResult.Won.class, claim(first));
+    assertInstanceOf(ClaimResult.Acquired.class, claim(first));
 
     assertEquals(
         new ClaimResult.InProgress(DEADLINE + ClaimSettings.STANDARD.graceMillis()), claim(second));
@@ -40,7 +40,7 @@
 
   @Test
   void resendGetsTheStoredAnswer() {
-    StoredAnswer answer = new StoredAnswer(201, "text/plain", bytes("booked"));
+    StoredResponse answer = new StoredResponse(201, "text/plain", bytes("booked"));
     first.finish(win(first), Outcome.RAN, Optional.of(answer)).join();
 
     assertEquals(new ClaimResult.Ran(Optional.of(answer)), claim(second));
@@ -48,8 +48,8 @@
 
   @Test
   void answerThatIsTooLongIsNotKept() {
-    byte[] body = new byte[StoredAnswer.MAXIMUM_LENGTH + 1];
-    StoredAnswer answer = new StoredAnswer(200, "text/plain", body);
+    byte[] body = new byte[StoredResponse.MAXIMUM_LENGTH + 1];
+    StoredResponse answer = new StoredResponse(200, "text/plain", body);
     first.finish(win(first), Outcome.RAN, Optional.of(answer)).join();
 
     ClaimResult result = claim(second);
@@ -65,7 +65,7 @@
   void notRunAllowsExactlyOneNewAttempt() {
     first.finish(win(first), Outcome.NOT_RUN, Optional.empty()).join();
     table.beforeNextCommit(() -> {});
-    table.beforeNextCommit(() -> assertInstanceOf(ClaimResult.Won.class, claim(second)));
+    table.beforeNextCommit(() -> assertInstanceOf(ClaimResult.Acquired.class, claim(second)));
 
     assertInstanceOf(ClaimResult.InProgress.class, claim(first));
   }
@@ -78,7 +78,7 @@
   void lostAnswerIsSettledByTheToken() {
     table.loseAnswers(1);
 
-    assertInstanceOf(ClaimResult.Won.class, claim(first));
+    assertInstanceOf(ClaimResult.Acquired.class, claim(first));
     assertInstanceOf(ClaimResult.InProgress.class, claim(second));
   }
 
@@ -89,8 +89,8 @@
   @Test
   void claimGivenUpIsReleasedInTheBackground() {
     LateTable late = new LateTable(table);
-    ClaimKeeper slow =
-        new ClaimKeeper(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
+    ClaimStore slow =
+        new ClaimStore(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
     late.loseAll(true);
     ClaimResult refused = claim(slow);
     late.loseAll(false);
@@ -99,10 +99,10 @@
     assertEquals(1, slow.unwritten());
     assertInstanceOf(ClaimResult.InProgress.class, claim(second));
 
-    slow.writeAgain();
+    slow.retryPendingWrites();
 
     assertEquals(0, slow.unwritten());
-    assertInstanceOf(ClaimResult.Won.class, claim(second));
+    assertInstanceOf(ClaimResult.Acquired.class, claim(second));
   }
 
   /**
@@ -112,14 +112,14 @@
   @Test
   void releaseLeavesAnotherEntrysClaimAlone() {
     LateTable late = new LateTable(table);
-    ClaimKeeper slow =
-        new ClaimKeeper(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
+    ClaimStore slow =
+        new ClaimStore(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
     late.loseAll(true);
     claim(slow);
     late.loseAll(false);
-    assertInstanceOf(ClaimResult.Won.class, claim(second));
+    assertInstanceOf(ClaimResult.Acquired.class, claim(second));
 
-    slow.writeAgain();
+    slow.retryPendingWrites();
     late.deliverLate();
 
     assertInstanceOf(ClaimResult.InProgress.class, claim(first));
@@ -132,15 +132,15 @@
   @Test
   void claimThatArrivesAfterItsReleaseHasNoEffect() {
     LateTable late = new LateTable(table);
-    ClaimKeeper slow =
-        new ClaimKeeper(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
+    ClaimStore slow =
+        new ClaimStore(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
     late.loseAll(true);
     claim(slow);
     late.loseAll(false);
-    slow.writeAgain();
+    slow.retryPendingWrites();
     late.deliverLate();
 
-    assertInstanceOf(ClaimResult.Won.class, claim(second));
+    assertInstanceOf(ClaimResult.Acquired.class, claim(second));
   }
 
   /**
@@ -172,7 +172,7 @@
     assertFalse(claim.mayDispatch(clock.millis()));
     first.finish(claim, Outcome.NOT_RUN, Optional.empty()).join();
 
-    assertInstanceOf(ClaimResult.Won.class, claim(second));
+    assertInstanceOf(ClaimResult.Acquired.class, claim(second));
   }
 
   /**
@@ -182,15 +182,15 @@
   @Test
   void claimWonAfterTheDeadlineIsGivenBack() {
     LateTable late = new LateTable(table);
-    ClaimKeeper slow =
-        new ClaimKeeper(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
+    ClaimStore slow =
+        new ClaimStore(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
     late.answerLate();
     ClaimResult result = slow.claim(BOOKINGS, key, "print", START + 1).join();
     assertEquals(FailureType.CLAIM_UNAVAILABLE, result.failure().orElseThrow().type());
 
     late.deliverLate();
 
-    assertInstanceOf(ClaimResult.Won.class, claim(second));
+    assertInstanceOf(ClaimResult.Acquired.class, claim(second));
   }
 
   /** The table is down: a booking is refused as not run, because nothing would stop a second. */
@@ -212,7 +212,7 @@
     assertFalse(first.finish(claim, Outcome.RAN, Optional.empty()).join());
     table.down(false);
 
-    first.writeAgain();
+    first.retryPendingWrites();
 
     assertEquals(new ClaimResult.Ran(Optional.empty()), claim(second));
   }
@@ -223,7 +223,7 @@
     Claim claim = win(first);
     table.loseAnswers(1);
     table.beforeNextCommit(() -> {});
-    table.beforeNextCommit(() -> assertInstanceOf(ClaimResult.Won.class, claim(second)));
+    table.beforeNextCommit(() -> assertInstanceOf(ClaimResult.Acquired.class, claim(second)));
 
     assertTrue(first.finish(claim, Outcome.NOT_RUN, Optional.empty()).join());
 
@@ -283,17 +283,17 @@
     assertEquals(800_000, cleaner.intervalMillis());
   }
 
-  private ClaimKeeper keeper() {
-    return new ClaimKeeper(
+  private ClaimStore keeper() {
+    return new ClaimStore(
         table, ClaimSettings.STANDARD, clock, () -> new ClaimToken("token-" + ++drawn));
   }
 
-  private ClaimResult claim(ClaimKeeper keeper) {
+  private ClaimResult claim(ClaimStore keeper) {
     return keeper.claim(BOOKINGS, key, "print", START + DEADLINE).join();
   }
 
-  private Claim win(ClaimKeeper keeper) {
-    return assertInstanceOf(ClaimResult.Won.class, claim(keeper)).claim();
+  private Claim win(ClaimStore keeper) {
+    return assertInstanceOf(ClaimResult.Acquired.class, claim(keeper)).claim();
   }
 
   private static byte[] bytes(String text) {
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimStateMachineTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimStateMachineTest.java
@@ -21,7 +21,7 @@
 import org.hornbeamusher.ids.ClaimToken;
 import org.hornbeamusher.ids.IdempotencyKey;
 import org.hornbeamusher.ids.ServiceName;
-import org.hornbeamusher.table.MemoryTable;
+import org.hornbeamusher.table.InMemoryTable;
 
 /** Any order of sends, runs, ends, outages and lost answers, at three entries. */
 class ClaimStateMachineTest {
@@ -54,10 +54,10 @@
 
   private static final class World {
 
-    private final MemoryTable table = new MemoryTable();
+    private final InMemoryTable table = new InMemoryTable();
     private final ManualClock clock = new ManualClock(START);
     private final IdempotencyKey key = ClaimKey.make(START, 1, 2);
-    private final List<ClaimKeeper> entries = new ArrayList<>();
+    private final List<ClaimStore> entries = new ArrayList<>();
     private final List<Held> held = new ArrayList<>();
     private final List<ClaimToken> toldNotRun = new ArrayList<>();
     private final Map<ClaimToken, Integer> ranFor = new HashMap<>();
@@ -67,7 +67,7 @@
     World() {
       for (int i = 0; i < ENTRIES; i++) {
         entries.add(
-            new ClaimKeeper(
+            new ClaimStore(
                 table, ClaimSettings.STANDARD, clock, () -> new ClaimToken("t-" + ++drawn)));
       }
     }
@@ -105,7 +105,7 @@
               .get(entry)
               .claim(new ServiceName("haul-api"), world.key, "print", expiry)
               .join();
-      if (result instanceof ClaimResult.Won won) {
+      if (result instanceof ClaimResult.Acquired won) {
         world.held.add(new Held(entry, won.claim()));
       }
     }
@@ -172,7 +172,7 @@
     public Arbitrary<Transformer<World>> transformer() {
       return Arbitraries.just(
           Transformer.mutate(
-              "write again", world -> world.entries.forEach(ClaimKeeper::writeAgain)));
+              "write again", world -> world.entries.forEach(ClaimStore::retryPendingWrites)));
     }
   }
 
--- a/runtime/src/test/java/org/hornbeamusher/clock/ElapsedClockTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/clock/SuspendAwareClockTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-class ElapsedClockTest {
+class SuspendAwareClockTest {
 
   private final ManualClock steady = new ManualClock(1_000);
   private final ManualClock timeOfDay = new ManualClock(50_000);
-  private final ElapsedClock clock = new ElapsedClock(steady, timeOfDay);
+  private final SuspendAwareClock clock = new SuspendAwareClock(steady, timeOfDay);
 
   /** A suspended machine took an old proof for a young one. */
   @Test
--- a/runtime/src/test/java/org/hornbeamusher/directory/EndpointDirectoryTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/directory/EndpointDirectoryTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.constraints.UniqueElements;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -26,8 +26,8 @@
 
   private static final long RENEWAL_MILLIS = 1_200;
   private static final long CONTACT_MILLIS = 3_000;
-  private static final ListSettings SETTINGS =
-      new ListSettings(READ_MILLIS, RENEWAL_MILLIS, CONTACT_MILLIS);
+  private static final EndpointListSettings SETTINGS =
+      new EndpointListSettings(READ_MILLIS, RENEWAL_MILLIS, CONTACT_MILLIS);
 
   /** How long endpoints that are missing from a list are kept. */
   private static final long GRACE_MILLIS = SETTINGS.graceMillis();
@@ -36,7 +36,7 @@
 
   @BeforeEach
   void configure() {
-    directory.configured(Set.of("s"));
+    directory.servicesChanged(Set.of("s"));
   }
 
   @Test
@@ -77,9 +77,9 @@
   @Test
   void graceBeginsAtTheLastRequestWithoutResponseAndEndsByTheClock() {
     listed(0, "a", "b");
-    directory.unanswered(9_100);
+    directory.listReadFailed(9_100);
     EndpointDirectory.Change back = listed(10_000, "a");
-    assertEquals(9_100 + GRACE_MILLIS - 10_000, back.absence().keptMillis());
+    assertEquals(9_100 + GRACE_MILLIS - 10_000, back.missing().keptMillis());
     listed(10_000 + 2 * READ_MILLIS, "a");
     assertEquals(List.of(), gone(directory.expire(9_099 + GRACE_MILLIS)));
     assertEquals(List.of("b"), gone(directory.expire(9_100 + GRACE_MILLIS)));
@@ -89,17 +89,17 @@
   @Test
   void graceBeginsAtTheRequestAfterThePauseOfProcess() {
     listed(0, "a", "b");
-    directory.unanswered(100);
-    assertEquals(GRACE_MILLIS - 1_000, listed(10_000, "a").absence().keptMillis());
+    directory.listReadFailed(100);
+    assertEquals(GRACE_MILLIS - 1_000, listed(10_000, "a").missing().keptMillis());
     listed(20_000, "a", "b");
-    assertEquals(GRACE_MILLIS, listed(30_000, "a").absence().keptMillis());
+    assertEquals(GRACE_MILLIS, listed(30_000, "a").missing().keptMillis());
   }
 
   /** Guards against treating one lost response as an outage in which entries expire. */
   @Test
   void endpointIsRemovedAtOnceAfterGapInWhichNoEntryCanExpire() {
     listed(0, "a", "b");
-    directory.unanswered(READ_MILLIS);
+    directory.listReadFailed(READ_MILLIS);
     assertEquals(List.of("b"), gone(listed(SETTINGS.minExpiryGapMillis(), "a")));
   }
 
@@ -109,7 +109,7 @@
     listed(0, "a", "b");
     listed(10_000, "a");
     assertEquals(List.of(), gone(directory.expire(10_000 + GRACE_MILLIS)));
-    directory.unanswered(14_000);
+    directory.listReadFailed(14_000);
     listed(14_500, "a");
     listed(14_500 + 2 * READ_MILLIS, "a");
     assertEquals(List.of("b"), gone(directory.expire(14_000 + GRACE_MILLIS)));
@@ -151,8 +151,8 @@
   /** Guards against a stale list, which may arrive after a newer one, that undoes leaving. */
   @Test
   void leavingEndpointDoesNotReturnToService() {
-    directory.listed(List.of(endpoint("a", true)), 0, 0);
-    directory.listed(List.of(endpoint("a", false)), READ_MILLIS, READ_MILLIS);
+    directory.listReceived(List.of(endpoint("a", true)), 0, 0);
+    directory.listReceived(List.of(endpoint("a", false)), READ_MILLIS, READ_MILLIS);
     assertTrue(directory.endpoint(new EndpointId("a")).orElseThrow().leaving());
   }
 
@@ -162,9 +162,10 @@
    */
   @Test
   void leavingEndpointIsStillLeavingWhenItsEntryIsUnusable() {
-    directory.listed(List.of(endpoint("a", true)), 0, 0);
+    directory.listReceived(List.of(endpoint("a", true)), 0, 0);
     assertEquals(
-        List.of(), directory.listed(List.of(unusable("a", "x")), READ_MILLIS, READ_MILLIS).gone());
+        List.of(),
+        directory.listReceived(List.of(unusable("a", "x")), READ_MILLIS, READ_MILLIS).removed());
     assertTrue(directory.endpoint(new EndpointId("a")).orElseThrow().leaving());
   }
 
@@ -174,12 +175,14 @@
   @Test
   void endpointsStayInServiceWhenTheirEntriesAreUnusable() {
     listed(0, "a", "b");
-    directory.listed(List.of(unusable("a", "x"), unusable("b", "x")), READ_MILLIS, READ_MILLIS);
+    directory.listReceived(
+        List.of(unusable("a", "x"), unusable("b", "x")), READ_MILLIS, READ_MILLIS);
     assertEquals(2, directory.endpoints().size());
     assertEquals(2, directory.unusableEntries());
     assertEquals(
         List.of("a"),
-        gone(directory.listed(List.of(unusable("b", "x")), 2 * READ_MILLIS, 2 * READ_MILLIS)));
+        gone(
+            directory.listReceived(List.of(unusable("b", "x")), 2 * READ_MILLIS, 2 * READ_MILLIS)));
     listed(3 * READ_MILLIS, "b");
     assertEquals(0, directory.unusableEntries());
   }
@@ -188,39 +191,42 @@
   @Test
   void endpointIsUpdatedWhenItsEntryIsUsableAgain() {
     listed(0, "a");
-    directory.listed(List.of(unusable("a", "x")), READ_MILLIS, READ_MILLIS);
+    directory.listReceived(List.of(unusable("a", "x")), READ_MILLIS, READ_MILLIS);
     assertEquals(
         1,
         directory
-            .listed(List.of(endpoint("a", true)), 2 * READ_MILLIS, 2 * READ_MILLIS)
+            .listReceived(List.of(endpoint("a", true)), 2 * READ_MILLIS, 2 * READ_MILLIS)
             .changed()
             .size());
   }
 
   @Test
   void unusableEntryAddsNoEndpoint() {
-    directory.listed(List.of(unusable("a", "x"), endpoint("b", false)), 0, 0);
+    directory.listReceived(List.of(unusable("a", "x"), endpoint("b", false)), 0, 0);
     assertEquals(List.of(endpoint("b", false)), directory.endpoints());
   }
 
   /** Guards against flooding the log: the list is read more than once a second. */
   @Test
   void unusableEntryIsReportedOnceForEachReason() {
-    assertEquals(1, directory.listed(List.of(unusable("a", "x")), 0, 0).unusable().size());
+    assertEquals(1, directory.listReceived(List.of(unusable("a", "x")), 0, 0).unusable().size());
     assertEquals(
         0,
-        directory.listed(List.of(unusable("a", "x")), READ_MILLIS, READ_MILLIS).unusable().size());
+        directory
+            .listReceived(List.of(unusable("a", "x")), READ_MILLIS, READ_MILLIS)
+            .unusable()
+            .size());
     assertEquals(
         1,
         directory
-            .listed(List.of(unusable("a", "y")), 2 * READ_MILLIS, 2 * READ_MILLIS)
+            .listReceived(List.of(unusable("a", "y")), 2 * READ_MILLIS, 2 * READ_MILLIS)
             .unusable()
             .size());
     listed(3 * READ_MILLIS, "a");
     assertEquals(
         1,
         directory
-            .listed(List.of(unusable("a", "y")), 4 * READ_MILLIS, 4 * READ_MILLIS)
+            .listReceived(List.of(unusable("a", "y")), 4 * READ_MILLIS, 4 * READ_MILLIS)
             .unusable()
             .size());
   }
@@ -233,7 +239,7 @@
   void endpointIsNotMovedToServiceThatIsNotConfigured() {
     listed(0, "a");
     EndpointDirectory.Change change =
-        directory.listed(List.of(endpoint("a", "nowhere")), READ_MILLIS, READ_MILLIS);
+        directory.listReceived(List.of(endpoint("a", "nowhere")), READ_MILLIS, READ_MILLIS);
     assertEquals(1, change.unusable().size());
     assertEquals("s", directory.endpoint(new EndpointId("a")).orElseThrow().service());
   }
@@ -241,9 +247,9 @@
   /** The endpoints of a new service are listed before the configuration that names it is read. */
   @Test
   void endpointOfNewServiceIsUsedWithTheConfigurationThatNamesIt() {
-    directory.listed(List.of(endpoint("a", "new")), 0, 0);
+    directory.listReceived(List.of(endpoint("a", "new")), 0, 0);
     assertEquals(List.of(), directory.endpoints());
-    assertEquals(1, directory.configured(Set.of("s", "new")).changed().size());
+    assertEquals(1, directory.servicesChanged(Set.of("s", "new")).changed().size());
     assertEquals(1, directory.endpoints().size());
   }
 
@@ -251,8 +257,8 @@
   @Test
   void endpointOfRemovedServiceIsStillUpdated() {
     listed(0, "a");
-    directory.configured(Set.of("other"));
-    directory.listed(List.of(endpoint("a", true)), READ_MILLIS, READ_MILLIS);
+    directory.servicesChanged(Set.of("other"));
+    directory.listReceived(List.of(endpoint("a", true)), READ_MILLIS, READ_MILLIS);
     assertTrue(directory.endpoint(new EndpointId("a")).orElseThrow().leaving());
     assertEquals(0, directory.unusableEntries());
   }
@@ -274,11 +280,12 @@
   }
 
   private EndpointDirectory.Change listed(long requested, long now, String... ids) {
-    return directory.listed(Stream.of(ids).map(id -> endpoint(id, false)).toList(), requested, now);
+    return directory.listReceived(
+        Stream.of(ids).map(id -> endpoint(id, false)).toList(), requested, now);
   }
 
   private static List<String> gone(EndpointDirectory.Change change) {
-    return change.gone().stream().map(endpoint -> endpoint.id().value()).toList();
+    return change.removed().stream().map(endpoint -> endpoint.id().value()).toList();
   }
 
   private static UnusableEntry unusable(String key, String reason) {
@@ -291,11 +298,11 @@
    */
   @Test
   void laterIncarnationOfLeavingEndpointIsInService() {
-    directory.listed(List.of(incarnation(100, true)), 0, 0);
+    directory.listReceived(List.of(incarnation(100, true)), 0, 0);
     EndpointDirectory.Change change =
-        directory.listed(List.of(incarnation(200, false)), READ_MILLIS, READ_MILLIS);
+        directory.listReceived(List.of(incarnation(200, false)), READ_MILLIS, READ_MILLIS);
     assertEquals(incarnation(200, false), current());
-    assertEquals(List.of(incarnation(100, true).life()), change.ended());
+    assertEquals(List.of(incarnation(100, true).incarnation()), change.ended());
   }
 
   /**
@@ -304,10 +311,10 @@
    */
   @Test
   void lateEntryOfFormerIncarnationChangesNothing() {
-    directory.listed(List.of(incarnation(100, false)), 0, 0);
-    directory.listed(List.of(incarnation(200, false)), READ_MILLIS, READ_MILLIS);
+    directory.listReceived(List.of(incarnation(100, false)), 0, 0);
+    directory.listReceived(List.of(incarnation(200, false)), READ_MILLIS, READ_MILLIS);
     EndpointDirectory.Change late =
-        directory.listed(List.of(incarnation(100, true)), 2 * READ_MILLIS, 2 * READ_MILLIS);
+        directory.listReceived(List.of(incarnation(100, true)), 2 * READ_MILLIS, 2 * READ_MILLIS);
     assertEquals(new EndpointDirectory.Change(List.of(), List.of(), List.of(), List.of()), late);
     assertEquals(incarnation(200, false), current());
   }
@@ -318,10 +325,10 @@
    */
   @Test
   void laterIncarnationIsCurrentAfterClockWasSetBack() {
-    directory.listed(List.of(incarnation(200, false)), 0, 0);
-    directory.listed(List.of(incarnation(100, false)), READ_MILLIS, READ_MILLIS);
+    directory.listReceived(List.of(incarnation(200, false)), 0, 0);
+    directory.listReceived(List.of(incarnation(100, false)), READ_MILLIS, READ_MILLIS);
     assertEquals(incarnation(100, false), current());
-    directory.listed(List.of(incarnation(200, false)), 2 * READ_MILLIS, 2 * READ_MILLIS);
+    directory.listReceived(List.of(incarnation(200, false)), 2 * READ_MILLIS, 2 * READ_MILLIS);
     assertEquals(incarnation(100, false), current());
   }
 
@@ -332,16 +339,18 @@
    */
   @Test
   void incarnationThatWasNeverListedDoesNotReturn() {
-    directory.listed(List.of(incarnation(100, false)), 0, 0);
-    directory.agentReported(incarnation(100, false).life());
-    directory.agentReported(incarnation(200, false).life());
-    directory.listed(List.of(incarnation(300, false)), READ_MILLIS, READ_MILLIS);
-    EndpointDirectory.Change last = directory.agentReported(incarnation(300, false).life());
-    assertEquals(List.of(incarnation(200, false).life()), last.ended());
-    assertEquals(List.of(), directory.agentReported(incarnation(200, false).life()).changed());
-    assertEquals(List.of(), directory.agentReported(incarnation(100, false).life()).changed());
-    directory.listed(List.of(incarnation(100, false)), 2 * READ_MILLIS, 2 * READ_MILLIS);
-    assertEquals(300, current().life().startMillis());
+    directory.listReceived(List.of(incarnation(100, false)), 0, 0);
+    directory.agentReported(incarnation(100, false).incarnation());
+    directory.agentReported(incarnation(200, false).incarnation());
+    directory.listReceived(List.of(incarnation(300, false)), READ_MILLIS, READ_MILLIS);
+    EndpointDirectory.Change last = directory.agentReported(incarnation(300, false).incarnation());
+    assertEquals(List.of(incarnation(200, false).incarnation()), last.ended());
+    assertEquals(
+        List.of(), directory.agentReported(incarnation(200, false).incarnation()).changed());
+    assertEquals(
+        List.of(), directory.agentReported(incarnation(100, false).incarnation()).changed());
+    directory.listReceived(List.of(incarnation(100, false)), 2 * READ_MILLIS, 2 * READ_MILLIS);
+    assertEquals(300, current().incarnation().startMillis());
   }
 
   /**
@@ -351,12 +360,13 @@
   @Test
   void agentReportsNextIncarnationBeforeTheList() {
     Endpoint holding = incarnation(100, true).restartedAt(100);
-    directory.listed(List.of(holding), 0, 0);
-    directory.agentReported(holding.life());
-    EndpointDirectory.Change change = directory.agentReported(new EndpointLife(A, 50));
-    assertEquals(List.of(holding.life()), change.ended());
+    directory.listReceived(List.of(holding), 0, 0);
+    directory.agentReported(holding.incarnation());
+    EndpointDirectory.Change change = directory.agentReported(new EndpointIncarnation(A, 50));
+    assertEquals(List.of(holding.incarnation()), change.ended());
     assertEquals(holding.restartedAt(50), current());
-    assertEquals(List.of(), directory.listed(List.of(holding), READ_MILLIS, READ_MILLIS).changed());
+    assertEquals(
+        List.of(), directory.listReceived(List.of(holding), READ_MILLIS, READ_MILLIS).changed());
     assertEquals(holding.restartedAt(50), current());
   }
 
@@ -366,12 +376,14 @@
    */
   @Test
   void listContainsNextIncarnationBeforeTheAgentReportsIt() {
-    directory.listed(List.of(incarnation(100, false)), 0, 0);
-    directory.agentReported(incarnation(100, false).life());
-    directory.listed(List.of(incarnation(50, false)), READ_MILLIS, READ_MILLIS);
+    directory.listReceived(List.of(incarnation(100, false)), 0, 0);
+    directory.agentReported(incarnation(100, false).incarnation());
+    directory.listReceived(List.of(incarnation(50, false)), READ_MILLIS, READ_MILLIS);
     assertEquals(incarnation(50, false), current());
-    assertEquals(List.of(), directory.agentReported(incarnation(100, false).life()).changed());
-    assertEquals(List.of(), directory.agentReported(incarnation(50, false).life()).changed());
+    assertEquals(
+        List.of(), directory.agentReported(incarnation(100, false).incarnation()).changed());
+    assertEquals(
+        List.of(), directory.agentReported(incarnation(50, false).incarnation()).changed());
     assertEquals(incarnation(50, false), current());
   }
 
@@ -382,10 +394,10 @@
    */
   @Test
   void firstListThatLagsBehindTheAgentDoesNotEndTheRunningIncarnation() {
-    directory.agentReported(incarnation(200, false).life());
-    directory.listed(List.of(incarnation(100, false)), 0, 0);
-    assertEquals(200, current().life().startMillis());
-    directory.listed(List.of(incarnation(200, false)), READ_MILLIS, READ_MILLIS);
+    directory.agentReported(incarnation(200, false).incarnation());
+    directory.listReceived(List.of(incarnation(100, false)), 0, 0);
+    assertEquals(200, current().incarnation().startMillis());
+    directory.listReceived(List.of(incarnation(200, false)), READ_MILLIS, READ_MILLIS);
     assertEquals(incarnation(200, false), current());
   }
 
@@ -395,10 +407,10 @@
    */
   @Test
   void agentThatLagsBehindTheFirstListIsCorrectedByItsNextReport() {
-    directory.listed(List.of(incarnation(200, false)), 0, 0);
-    directory.agentReported(incarnation(100, false).life());
-    directory.agentReported(incarnation(200, false).life());
-    assertEquals(200, current().life().startMillis());
+    directory.listReceived(List.of(incarnation(200, false)), 0, 0);
+    directory.agentReported(incarnation(100, false).incarnation());
+    directory.agentReported(incarnation(200, false).incarnation());
+    assertEquals(200, current().incarnation().startMillis());
   }
 
   /**
@@ -407,20 +419,20 @@
    */
   @Test
   void formerIncarnationEndsAlsoWhenItsEntryExpiredBefore() {
-    directory.listed(List.of(incarnation(100, false)), 0, 0);
-    directory.listed(List.of(), READ_MILLIS, READ_MILLIS);
+    directory.listReceived(List.of(incarnation(100, false)), 0, 0);
+    directory.listReceived(List.of(), READ_MILLIS, READ_MILLIS);
     EndpointDirectory.Change back =
-        directory.listed(List.of(incarnation(200, false)), 2 * READ_MILLIS, 2 * READ_MILLIS);
-    assertEquals(List.of(incarnation(100, false).life()), back.ended());
+        directory.listReceived(List.of(incarnation(200, false)), 2 * READ_MILLIS, 2 * READ_MILLIS);
+    assertEquals(List.of(incarnation(100, false).incarnation()), back.ended());
   }
 
   /** An expired entry that returns with the same incarnation must not end that incarnation. */
   @Test
   void sameIncarnationReturnsAfterItsEntryExpired() {
-    directory.listed(List.of(incarnation(100, false)), 0, 0);
-    directory.listed(List.of(), READ_MILLIS, READ_MILLIS);
+    directory.listReceived(List.of(incarnation(100, false)), 0, 0);
+    directory.listReceived(List.of(), READ_MILLIS, READ_MILLIS);
     EndpointDirectory.Change back =
-        directory.listed(List.of(incarnation(100, false)), 2 * READ_MILLIS, 2 * READ_MILLIS);
+        directory.listReceived(List.of(incarnation(100, false)), 2 * READ_MILLIS, 2 * READ_MILLIS);
     assertEquals(List.of(incarnation(100, false)), back.changed());
     assertEquals(List.of(), back.ended());
   }
@@ -436,9 +448,9 @@
           List<@LongRange(min = 1, max = 1_000) Long> starts,
       @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 3) Integer> steps) {
     EndpointDirectory tested = new EndpointDirectory(SETTINGS);
-    tested.configured(Set.of("s"));
-    tested.listed(List.of(incarnation(starts.get(0), false)), 0, 0);
-    tested.agentReported(incarnation(starts.get(0), false).life());
+    tested.servicesChanged(Set.of("s"));
+    tested.listReceived(List.of(incarnation(starts.get(0), false)), 0, 0);
+    tested.agentReported(incarnation(starts.get(0), false).incarnation());
     int listed = 0;
     int reported = 0;
     int highest = 0;
@@ -446,13 +458,13 @@
       switch (step) {
         case 0 -> listed = Math.min(listed + 1, starts.size() - 1);
         case 1 -> reported = Math.min(reported + 1, starts.size() - 1);
-        case 2 -> tested.listed(List.of(incarnation(starts.get(listed / 2), false)), 0, 0);
-        default -> tested.agentReported(incarnation(starts.get(reported / 2), false).life());
+        case 2 -> tested.listReceived(List.of(incarnation(starts.get(listed / 2), false)), 0, 0);
+        default -> tested.agentReported(incarnation(starts.get(reported / 2), false).incarnation());
       }
-      tested.listed(List.of(incarnation(starts.get(listed), false)), 0, 0);
-      tested.agentReported(incarnation(starts.get(reported), false).life());
+      tested.listReceived(List.of(incarnation(starts.get(listed), false)), 0, 0);
+      tested.agentReported(incarnation(starts.get(reported), false).incarnation());
       highest = Math.max(highest, Math.max(listed, reported));
-      long current = tested.endpoint(A).orElseThrow().life().startMillis();
+      long current = tested.endpoint(A).orElseThrow().incarnation().startMillis();
       assertEquals(starts.get(highest), current);
     }
   }
@@ -469,7 +481,7 @@
     EndpointDirectory.Change change = agentReported("b", 100);
 
     assertEquals(List.of("a"), gone(change));
-    assertEquals(List.of(endpoint("a", false).life()), change.ended());
+    assertEquals(List.of(endpoint("a", false).incarnation()), change.ended());
     assertEquals(List.of("b"), ids(change.changed()));
     assertEquals("s", change.changed().get(0).service());
     listed(READ_MILLIS, "a");
@@ -509,7 +521,7 @@
   @Test
   void listEntryWithInvalidKeyDoesNotAffectTheOthers() {
     EndpointDirectory.Change change =
-        directory.listed(List.of(unusable("NOT AN ID", "x"), endpoint("a", false)), 0, 0);
+        directory.listReceived(List.of(unusable("NOT AN ID", "x"), endpoint("a", false)), 0, 0);
     assertEquals(List.of("a"), ids(change.changed()));
     assertEquals(1, change.unusable().size());
   }
@@ -530,7 +542,7 @@
   @Test
   void engineAtAnUnknownAddressWaitsForTheList() {
     listed(0, "a");
-    EndpointLife other = endpoint("b", false).life();
+    EndpointIncarnation other = endpoint("b", false).incarnation();
     assertEquals(List.of(), directory.agentReported(other, "10.0.0.2-1", 100).changed());
   }
 
@@ -545,7 +557,7 @@
     listed(0, "a", "b");
     EndpointDirectory.Change change = agentReported("b", 100);
     assertEquals(List.of("a"), gone(change));
-    assertEquals(List.of(new EndpointLife(A, 0)), change.ended());
+    assertEquals(List.of(new EndpointIncarnation(A, 0)), change.ended());
     assertEquals(List.of("b"), ids(directory.endpoints()));
     listed(READ_MILLIS, "a", "b");
     assertEquals(List.of("b"), ids(directory.endpoints()));
@@ -590,7 +602,7 @@
 
   private EndpointDirectory.Change agentReported(String id, long now) {
     Endpoint endpoint = endpoint(id, false);
-    return directory.agentReported(endpoint.life(), endpoint.address(), now);
+    return directory.agentReported(endpoint.incarnation(), endpoint.address(), now);
   }
 
   private static List<String> ids(List<Endpoint> endpoints) {
@@ -603,14 +615,14 @@
 
   private static Endpoint incarnation(long start, boolean leaving) {
     return new Endpoint(
-        new EndpointLife(A, start),
+        new EndpointIncarnation(A, start),
         "s",
         URI.create("http://10.0.0.1:1"),
         "z",
         1,
         leaving,
         0,
-        leaving ? Set.of(HeldAdapter.parse("m/a@1")) : Set.of());
+        leaving ? Set.of(AdapterVersion.parse("m/a@1")) : Set.of());
   }
 
   private static Endpoint endpoint(String id, boolean leaving) {
@@ -623,7 +635,7 @@
 
   private static Endpoint endpoint(String id, String service, boolean leaving) {
     return new Endpoint(
-        new EndpointLife(new EndpointId(id), EndpointLife.UNKNOWN_START),
+        new EndpointIncarnation(new EndpointId(id), EndpointIncarnation.UNKNOWN_START),
         service,
         URI.create("http://10.0.0.1:1"),
         "z",
--- a/runtime/src/test/java/org/hornbeamusher/directory/MissingEndpointProperties.java
+++ b/runtime/src/test/java/org/hornbeamusher/directory/MissingEndpointProperties.java
@@ -16,15 +16,15 @@
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 import org.hornbeamusher.loop.SimulatedLoop;
-import org.hornbeamusher.transfer.Transfer;
-import org.hornbeamusher.transfer.TransferLimits;
+import org.hornbeamusher.transfer.TransferStats;
+import org.hornbeamusher.transfer.TransferTimeouts;
 import org.hornbeamusher.watch.ChangeFeed;
 import org.hornbeamusher.watch.ChangedRow;
-import org.hornbeamusher.watch.Changes;
-import org.hornbeamusher.watch.Page;
 import org.hornbeamusher.watch.RowContent;
+import org.hornbeamusher.watch.TableChanges;
+import org.hornbeamusher.watch.TablePage;
 import org.hornbeamusher.watch.TableWatch;
 import org.hornbeamusher.watch.WatchSettings;
 
@@ -40,9 +40,9 @@
   private static final long PAUSE_MILLIS = 700;
   private static final long RETRY_MILLIS = 250;
   private static final long REFRESH_MILLIS = 200;
-  private static final TransferLimits LIMITS = new TransferLimits(450, 450);
-  private static final ListSettings SETTINGS =
-      new ListSettings(PAUSE_MILLIS, 1_200, CONTACT_MILLIS);
+  private static final TransferTimeouts LIMITS = new TransferTimeouts(450, 450);
+  private static final EndpointListSettings SETTINGS =
+      new EndpointListSettings(PAUSE_MILLIS, 1_200, CONTACT_MILLIS);
 
   private final SimulatedLoop loop = new SimulatedLoop();
   private final EndpointDirectory directory = new EndpointDirectory(SETTINGS);
@@ -106,7 +106,7 @@
   }
 
   private void startWatch() {
-    directory.configured(Set.of("s"));
+    directory.servicesChanged(Set.of("s"));
     WatchSettings settings = new WatchSettings(0, PAUSE_MILLIS, RETRY_MILLIS, 2_000);
     TableWatch[] watch = new TableWatch[1];
     watch[0] =
@@ -118,22 +118,25 @@
             loop.clock(),
             new TableWatch.Listener() {
               @Override
-              public void received(Changes changes, long requestedMillis) {
+              public void received(TableChanges changes, long requestedMillis) {
                 listed(changes, requestedMillis, watch[0]);
               }
 
               @Override
-              public void unanswered(long requestedMillis) {
-                directory.unanswered(requestedMillis);
+              public void readFailed(long requestedMillis) {
+                directory.listReadFailed(requestedMillis);
               }
             });
     watch[0].start();
   }
 
-  private void listed(Changes changes, long requestedMillis, TableWatch watch) {
+  private void listed(TableChanges changes, long requestedMillis, TableWatch watch) {
     List<Endpoint> entries = changes.rows().stream().map(row -> endpoint(row.key())).toList();
     long kept =
-        directory.listed(entries, requestedMillis, loop.clock().millis()).absence().keptMillis();
+        directory
+            .listReceived(entries, requestedMillis, loop.clock().millis())
+            .missing()
+            .keptMillis();
     if (kept > 0) {
       loop.after(Math.max(0, kept - REFRESH_MILLIS), watch::refresh);
       loop.after(kept, () -> directory.expire(loop.clock().millis()));
@@ -142,7 +145,7 @@
 
   private static Endpoint endpoint(String id) {
     return new Endpoint(
-        new EndpointLife(new EndpointId(id), EndpointLife.UNKNOWN_START),
+        new EndpointIncarnation(new EndpointId(id), EndpointIncarnation.UNKNOWN_START),
         "s",
         URI.create("http://127.0.0.1:1"),
         "z",
@@ -156,15 +159,15 @@
   private final class Store implements ChangeFeed {
 
     @Override
-    public CompletableFuture<Page> page(String table, String after, int failures) {
-      CompletableFuture<Page> response = new CompletableFuture<>();
+    public CompletableFuture<TablePage> page(String table, String after, int failures) {
+      CompletableFuture<TablePage> response = new CompletableFuture<>();
       long now = loop.clock().millis();
       boolean lost = now >= outageStartMillis && now < outageEndMillis;
       if (lost) {
         long limit = refuses ? responseMillis : LIMITS.afterFailures(failures).startTimeoutMillis();
         loop.after(limit, () -> response.completeExceptionally(failure()));
       } else {
-        Page page = new Page(rows(now), now, false, Transfer.NONE);
+        TablePage page = new TablePage(rows(now), now, false, TransferStats.NONE);
         loop.after(responseMillis, () -> response.complete(page));
       }
       return response;
@@ -183,7 +186,7 @@
     }
 
     @Override
-    public CompletableFuture<Optional<Changes>> since(
+    public CompletableFuture<Optional<TableChanges>> since(
         String table, long revision, long waitMillis, int failures) {
       throw new AssertionError("the list must be read in full");
     }
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentDeltaTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentDeltaTest.java
@@ -11,8 +11,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import org.hornbeamusher.documents.ServiceDocument.Adapter;
-import org.hornbeamusher.documents.ServiceDocument.Kind;
+import org.hornbeamusher.documents.ServiceDocument.AdapterDeclaration;
+import org.hornbeamusher.documents.ServiceDocument.ServiceKind;
 import org.hornbeamusher.ids.AdapterName;
 import org.junit.jupiter.api.Test;
 
@@ -26,10 +26,9 @@
     ServiceDocument older = document(1, a);
     ServiceDocument newer = document(2, b);
 
-    DocumentUpdate sent =
-        new DocumentUpdate.Differences(List.of(DocumentDelta.between(older, newer)));
-    DocumentUpdate.Differences got =
-        (DocumentUpdate.Differences) DocumentCodec.decodeUpdate(DocumentCodec.encodeUpdate(sent));
+    DocumentUpdate sent = new DocumentUpdate.Deltas(List.of(DocumentDelta.between(older, newer)));
+    DocumentUpdate.Deltas got =
+        (DocumentUpdate.Deltas) DocumentCodec.decodeUpdate(DocumentCodec.encodeUpdate(sent));
 
     assertEquals(Optional.of(newer), got.deltas().get(0).applyTo(older));
   }
@@ -47,12 +46,12 @@
 
   @Test
   void gapInDifferencesMakesTheHolderSendTheWholeDocument() {
-    DocumentHolder holder = new DocumentHolder();
+    LatestDocuments holder = new LatestDocuments();
     holder.offer(document(1, Map.of()));
     holder.offer(document(4, Map.of(1, 1)));
 
     assertEquals(
-        new DocumentUpdate.Whole(document(4, Map.of(1, 1))),
+        new DocumentUpdate.FullDocument(document(4, Map.of(1, 1))),
         holder.updateSince(document(1, Map.of()).service(), 2));
   }
 
@@ -61,23 +60,25 @@
   void differenceOfOneAdapterIsSmallAgainstTheDocument() {
     ServiceDocument older = read(DocumentTexts.manyAdapters(3_000)).at(1, false);
     ServiceDocument newer = read(DocumentTexts.manyAdapters(3_001)).at(2, false);
-    int whole = DocumentCodec.encodeUpdate(new DocumentUpdate.Whole(newer)).length;
+    int whole = DocumentCodec.encodeUpdate(new DocumentUpdate.FullDocument(newer)).length;
     DocumentUpdate difference =
-        new DocumentUpdate.Differences(List.of(DocumentDelta.between(older, newer)));
+        new DocumentUpdate.Deltas(List.of(DocumentDelta.between(older, newer)));
 
     assertTrue(DocumentCodec.encodeUpdate(difference).length * 20 < whole);
   }
 
   private static ServiceDocument document(long version, Map<Integer, Integer> adapters) {
-    Map<AdapterName, Adapter> named = new HashMap<>();
+    Map<AdapterName, AdapterDeclaration> named = new HashMap<>();
     adapters.forEach(
         (name, current) ->
-            named.put(new AdapterName("a" + name), new Adapter(current, List.of(current), "w")));
+            named.put(
+                new AdapterName("a" + name),
+                new AdapterDeclaration(current, List.of(current), "w")));
     ServiceDocument base = read(DocumentTexts.dispatch(7));
-    return base.withKind(new Kind.Model("base", named, true, 4, 8)).at(version, false);
+    return base.withKind(new ServiceKind.Model("base", named, true, 4, 8)).at(version, false);
   }
 
   private static ServiceDocument read(String text) {
-    return ((DocumentReading.Valid) ServiceDocumentReader.read("f", text)).document();
+    return ((DocumentParseResult.Valid) ServiceDocumentReader.read("f", text)).document();
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentHolderTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentHolderTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.hornbeamusher.documents.DocumentHolder.Offered;
+import org.hornbeamusher.documents.LatestDocuments.Offered;
 import org.hornbeamusher.ids.ServiceName;
 import org.junit.jupiter.api.Test;
 
@@ -15,7 +15,7 @@
   private static final ServiceName DISPATCH = new ServiceName("lm-dispatch");
   private static final ServiceName OTHER = new ServiceName("valuer-llm");
 
-  private final DocumentHolder holder = new DocumentHolder();
+  private final LatestDocuments holder = new LatestDocuments();
 
   /**
    * A slow peer answers with version 1 after version 2 has come from elsewhere. Requests must keep
@@ -46,8 +46,8 @@
   void namesWhatPeerHoldsThatIsNewer() {
     holder.offer(document(2, false));
 
-    assertEquals(Set.of(OTHER), holder.missing(Map.of(DISPATCH, 2L, OTHER, 1L)));
-    assertEquals(Set.of(DISPATCH), holder.missing(Map.of(DISPATCH, 3L)));
+    assertEquals(Set.of(OTHER), holder.newerThanHeld(Map.of(DISPATCH, 2L, OTHER, 1L)));
+    assertEquals(Set.of(DISPATCH), holder.newerThanHeld(Map.of(DISPATCH, 3L)));
   }
 
   @Test
@@ -62,7 +62,7 @@
   }
 
   private static ServiceDocument document(long version, boolean deleted) {
-    return ((DocumentReading.Valid) ServiceDocumentReader.read("f", DocumentTexts.dispatch(7)))
+    return ((DocumentParseResult.Valid) ServiceDocumentReader.read("f", DocumentTexts.dispatch(7)))
         .document()
         .at(version, deleted);
   }
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentSpreadTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentSpreadTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.LongRange;
 import org.hornbeamusher.ids.AvailabilityZone;
 import org.hornbeamusher.membership.ConnectionPlan;
-import org.hornbeamusher.membership.ConnectionPlan.Place;
+import org.hornbeamusher.membership.ConnectionPlan.AgentLocation;
 
 /**
  * How long a change takes to reach 400 entries and 1,400 agents in 15 availability zones.
@@ -70,11 +70,11 @@
   }
 
   private static List<List<Integer>> neighbours() {
-    List<Place> places = new ArrayList<>();
+    List<AgentLocation> places = new ArrayList<>();
     Map<String, Integer> nodes = new HashMap<>();
     for (int agent = 0; agent < AGENTS; agent++) {
       String address = "10.1." + agent / 250 + "." + agent % 250 + ":7400";
-      places.add(new Place(address, zone(agent)));
+      places.add(new AgentLocation(address, zone(agent)));
       nodes.put(address, ENTRIES + agent);
     }
     List<List<Integer>> neighbours = new ArrayList<>();
@@ -82,7 +82,7 @@
       neighbours.add(new ArrayList<>());
     }
     for (int entry = 0; entry < ENTRIES; entry++) {
-      for (String address : ConnectionPlan.choose("entry-" + entry, zone(entry), places)) {
+      for (String address : ConnectionPlan.chooseAgents("entry-" + entry, zone(entry), places)) {
         neighbours.get(entry).add(nodes.get(address));
         neighbours.get(nodes.get(address)).add(entry);
       }
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentStoreTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentStoreTest.java
@@ -16,7 +16,7 @@
 import org.hornbeamusher.ids.PartnerId;
 import org.hornbeamusher.ids.ServiceName;
 import org.hornbeamusher.ids.TeamId;
-import org.hornbeamusher.table.MemoryTable;
+import org.hornbeamusher.table.InMemoryTable;
 import org.junit.jupiter.api.Test;
 
 class DocumentStoreTest {
@@ -25,7 +25,7 @@
   private static final Principal OWNER = principal("zarqa", "dispatch");
   private static final Principal STRANGER = principal("tawhiti", "valuations");
 
-  private final MemoryTable table = new MemoryTable();
+  private final InMemoryTable table = new InMemoryTable();
   private final ManualClock clock = new ManualClock(1_000_000);
   private int drawn;
   private final DocumentStore store =
@@ -36,7 +36,7 @@
     assertEquals(accepted(1), submit(7, 0));
     assertEquals(accepted(2), submit(8, 1));
 
-    assertEquals(8, store.read(DISPATCH).join().orElseThrow().limits().queue());
+    assertEquals(8, store.read(DISPATCH).join().orElseThrow().limits().maxQueueLength());
     assertEquals(Map.of(DISPATCH, 2L), store.versions().join());
     List<Long> versions =
         store.history(DISPATCH, OWNER, 0, 10).join().stream().map(StoredDocument::version).toList();
@@ -70,7 +70,7 @@
     table.beforeNextCommit(() -> submit(8, 1));
 
     assertEquals(new SubmitResult.Conflict(DISPATCH, 1, 2), submit(9, 1));
-    assertEquals(8, store.read(DISPATCH).join().orElseThrow().limits().queue());
+    assertEquals(8, store.read(DISPATCH).join().orElseThrow().limits().maxQueueLength());
   }
 
   /**
@@ -145,11 +145,11 @@
     SubmitResult result = store.submit("f.toml", stolen, 1, STRANGER).join();
 
     assertEquals(new SubmitResult.Forbidden(DISPATCH), result);
-    assertEquals(7, store.read(DISPATCH).join().orElseThrow().limits().queue());
+    assertEquals(7, store.read(DISPATCH).join().orElseThrow().limits().maxQueueLength());
     assertEquals(
         List.of(new RefusedAttempt(DISPATCH, STRANGER, 1_000_000)),
-        store.attempts(DISPATCH, OWNER, 0, 10).join());
-    assertEquals(List.of(), store.attempts(DISPATCH, STRANGER, 0, 10).join());
+        store.refusedAttempts(DISPATCH, OWNER, 0, 10).join());
+    assertEquals(List.of(), store.refusedAttempts(DISPATCH, STRANGER, 0, 10).join());
   }
 
   @Test
@@ -202,7 +202,7 @@
     submit(8, 1);
 
     assertEquals(accepted(3), store.rollBack(DISPATCH, 1, 2, OWNER).join());
-    assertEquals(7, store.read(DISPATCH).join().orElseThrow().limits().queue());
+    assertEquals(7, store.read(DISPATCH).join().orElseThrow().limits().maxQueueLength());
   }
 
   @Test
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentSyncTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentSyncTest.java
@@ -14,7 +14,7 @@
 import org.hornbeamusher.ids.PartnerId;
 import org.hornbeamusher.ids.ServiceName;
 import org.hornbeamusher.ids.TeamId;
-import org.hornbeamusher.table.MemoryTable;
+import org.hornbeamusher.table.InMemoryTable;
 import org.hornbeamusher.table.Row;
 import org.hornbeamusher.table.Table;
 import org.hornbeamusher.table.Transaction;
@@ -26,7 +26,7 @@
   private static final Principal OWNER =
       new Principal(new PartnerId("zarqa"), new TeamId("dispatch"));
 
-  private final MemoryTable table = new MemoryTable();
+  private final InMemoryTable table = new InMemoryTable();
   private final ManualClock clock = new ManualClock(1_000_000);
   private final DocumentStore store = new DocumentStore(table, clock, () -> "token-" + drawn());
   private final Process first = new Process();
@@ -56,23 +56,23 @@
     table.down(true);
     second.sync.poll().join();
 
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.digestHashReceived(first, first.holder.digestHash());
 
-    assertEquals(7, second.holder.current(DISPATCH).orElseThrow().limits().queue());
+    assertEquals(7, second.holder.current(DISPATCH).orElseThrow().limits().maxQueueLength());
   }
 
   @Test
   void changeTravelsAsDifference() {
     submit(7, 0);
     first.sync.poll().join();
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.digestHashReceived(first, first.holder.digestHash());
     submit(8, 1);
     submit(9, 2);
     first.sync.poll().join();
 
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.digestHashReceived(first, first.holder.digestHash());
 
-    assertInstanceOf(DocumentUpdate.Differences.class, first.sent.get(1));
+    assertInstanceOf(DocumentUpdate.Deltas.class, first.sent.get(1));
     assertEquals(List.of(1L, 3L), second.versions);
     assertEquals(first.holder.digestHash(), second.holder.digestHash());
   }
@@ -86,8 +86,8 @@
     submit(7, 0);
     first.sync.poll().join();
 
-    first.sync.heard(second, second.holder.digestHash());
-    first.sync.heard(second, second.holder.digestHash());
+    first.sync.digestHashReceived(second, second.holder.digestHash());
+    first.sync.digestHashReceived(second, second.holder.digestHash());
 
     assertEquals(1, second.digests);
   }
@@ -101,13 +101,13 @@
     submit(7, 0);
     first.sync.poll().join();
     first.silent = true;
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.digestHashReceived(first, first.holder.digestHash());
     first.silent = false;
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.digestHashReceived(first, first.holder.digestHash());
     assertTrue(second.holder.all().isEmpty());
 
     clock.advance(PullLedger.PATIENCE_MILLIS);
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.digestHashReceived(first, first.holder.digestHash());
 
     assertEquals(1, second.holder.all().size());
   }
@@ -128,7 +128,7 @@
         };
     DocumentSync sync =
         new DocumentSync(
-            new DocumentHolder(),
+            new LatestDocuments(),
             new DocumentStore(slow, clock, () -> "token"),
             clock,
             PollPlan.STANDARD,
@@ -150,15 +150,15 @@
     first.sync.poll().join();
     first.silent = true;
     first.arriving = true;
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.digestHashReceived(first, first.holder.digestHash());
     first.silent = false;
 
     clock.advance(PullLedger.PATIENCE_MILLIS);
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.digestHashReceived(first, first.holder.digestHash());
     assertEquals(0, first.sent.size());
 
     first.arriving = false;
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.digestHashReceived(first, first.holder.digestHash());
     assertEquals(1, first.sent.size());
   }
 
@@ -200,7 +200,7 @@
 
   private final class Process implements DocumentPeer {
 
-    private final DocumentHolder holder = new DocumentHolder();
+    private final LatestDocuments holder = new LatestDocuments();
     private final DocumentSync sync =
         new DocumentSync(holder, store, clock, PollPlan.STANDARD, () -> 1, new Random(1));
     private final List<Long> versions = new ArrayList<>();
@@ -210,7 +210,7 @@
     private boolean arriving;
 
     Process() {
-      sync.listen(document -> versions.add(document.version()));
+      sync.addListener(document -> versions.add(document.version()));
     }
 
     @Override
--- a/runtime/src/test/java/org/hornbeamusher/documents/ServiceDocumentReaderTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/ServiceDocumentReaderTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
 import java.util.List;
-import org.hornbeamusher.documents.ServiceDocument.Adapter;
+import org.hornbeamusher.documents.ServiceDocument.AdapterDeclaration;
 import org.hornbeamusher.documents.ServiceDocument.CallPattern;
-import org.hornbeamusher.documents.ServiceDocument.Kind;
-import org.hornbeamusher.documents.ServiceDocument.Limits;
+import org.hornbeamusher.documents.ServiceDocument.ServiceKind;
+import org.hornbeamusher.documents.ServiceDocument.ServiceLimits;
 import org.hornbeamusher.ids.AdapterName;
 import org.hornbeamusher.toml.Problem;
 import org.junit.jupiter.api.Test;
@@ -18,13 +18,14 @@
   void readsModelWithAdapters() {
     ServiceDocument document = valid(DocumentTexts.dispatch(7));
 
-    Kind.Model model = assertInstanceOf(Kind.Model.class, document.kind());
+    ServiceKind.Model model = assertInstanceOf(ServiceKind.Model.class, document.kind());
     assertEquals(
-        new Adapter(2, List.of(1, 2), "lora/lm-dispatch/roster-0001/{version}"),
+        new AdapterDeclaration(2, List.of(1, 2), "lora/lm-dispatch/roster-0001/{version}"),
         model.adapters().get(new AdapterName("roster-0001")));
     assertEquals(
-        "elsewhere/{version}", model.adapters().get(new AdapterName("roster-0002")).weights());
-    assertEquals(new Limits(1, 7, 10_000, 60_000, 4_096), document.limits());
+        "elsewhere/{version}",
+        model.adapters().get(new AdapterName("roster-0002")).weightsLocation());
+    assertEquals(new ServiceLimits(1, 7, 10_000, 60_000, 4_096), document.limits());
     assertEquals(0, document.version());
   }
 
@@ -44,7 +45,7 @@
             ]
             """);
 
-    Kind.Plain plain = assertInstanceOf(Kind.Plain.class, document.kind());
+    ServiceKind.Plain plain = assertInstanceOf(ServiceKind.Plain.class, document.kind());
     assertEquals(List.of(new CallPattern("POST", "/bookings")), plain.nonRepeatable());
   }
 
@@ -52,7 +53,7 @@
   void readsThreeThousandAdapters() {
     ServiceDocument document = valid(DocumentTexts.manyAdapters(3_000));
 
-    assertEquals(3_002, ((Kind.Model) document.kind()).adapters().size());
+    assertEquals(3_002, ((ServiceKind.Model) document.kind()).adapters().size());
   }
 
   @Test
@@ -103,9 +104,11 @@
 
   @Test
   void reportsLineOfTextThatIsNotToml() {
-    DocumentReading reading = ServiceDocumentReader.read("f.toml", "service = \"a\"\nteam = = 1\n");
+    DocumentParseResult reading =
+        ServiceDocumentReader.read("f.toml", "service = \"a\"\nteam = = 1\n");
 
-    DocumentReading.Invalid invalid = assertInstanceOf(DocumentReading.Invalid.class, reading);
+    DocumentParseResult.Invalid invalid =
+        assertInstanceOf(DocumentParseResult.Invalid.class, reading);
     assertEquals(1, invalid.problems().all().size());
     assertEquals(2, invalid.problems().all().get(0).line());
   }
@@ -120,13 +123,15 @@
   }
 
   private static ServiceDocument valid(String text) {
-    return assertInstanceOf(DocumentReading.Valid.class, ServiceDocumentReader.read("f.toml", text))
+    return assertInstanceOf(
+            DocumentParseResult.Valid.class, ServiceDocumentReader.read("f.toml", text))
         .document();
   }
 
   private static String invalid(String text) {
-    DocumentReading.Invalid invalid =
-        assertInstanceOf(DocumentReading.Invalid.class, ServiceDocumentReader.read("f.toml", text));
+    DocumentParseResult.Invalid invalid =
+        assertInstanceOf(
+            DocumentParseResult.Invalid.class, ServiceDocumentReader.read("f.toml", text));
     return String.join("\n", invalid.problems().all().stream().map(Problem::toString).toList());
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/exchange/WireDocumentPeerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/exchange/WireDocumentPeerTest.java
@@ -56,11 +56,11 @@
     }
 
     @Override
-    public boolean receiving() {
+    public boolean receivingLargeMessage() {
       return receiving;
     }
 
     @Override
-    public void stop() {}
+    public void close() {}
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/lease/FencingLeaseTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/fencing/FencingLeaseTest.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.lease;
+package org.hornbeamusher.fencing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -7,12 +7,12 @@
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.table.MemoryTable;
+import org.hornbeamusher.table.InMemoryTable;
 import org.junit.jupiter.api.Test;
 
 class FencingLeaseTest {
 
-  private final MemoryTable table = new MemoryTable();
+  private final InMemoryTable table = new InMemoryTable();
 
   @Test
   void numbersRiseFromAgentToAgent() {
@@ -57,7 +57,7 @@
   }
 
   private long acquire(String holder, long seenByEngine) {
-    return new FencingLease(table, new EndpointId("e-1"), holder)
+    return new FencingNumberAllocator(table, new EndpointId("e-1"), holder)
         .acquire(seenByEngine)
         .join()
         .value();
--- a/runtime/src/test/java/org/hornbeamusher/forwarding/AgentConnectionsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/forwarding/AgentConnectionsTest.java
@@ -119,11 +119,11 @@
     }
 
     @Override
-    public boolean receiving() {
+    public boolean receivingLargeMessage() {
       return false;
     }
 
     @Override
-    public void stop() {}
+    public void close() {}
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/forwarding/ForwardingDecisionsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/forwarding/ForwardingDecisionsTest.java
@@ -14,7 +14,7 @@
 
 class ForwardingDecisionsTest {
 
-  private static final RepeatSettings REPEATS = new RepeatSettings(0.2, 56, 10_000);
+  private static final ServiceRetrySettings REPEATS = new ServiceRetrySettings(0.2, 56, 10_000);
 
   @Test
   void eventIsReturnedOnlyWhenComplete() {
@@ -68,7 +68,7 @@
 
   @Test
   void allowanceIsRestoredAfterTheWindow() {
-    RetryAllowance allowance = new RetryAllowance(new RepeatSettings(0, 2, 10_000));
+    RetryAllowance allowance = new RetryAllowance(new ServiceRetrySettings(0, 2, 10_000));
     assertTrue(allowance.tryTake("s", 1, 0));
     assertEquals(false, allowance.tryTake("s", 1, 9_900));
     assertTrue(allowance.tryTake("s", 1, 10_100));
@@ -76,7 +76,7 @@
 
   @Test
   void retriesOfOneServiceDoNotUseUpThoseOfAnother() {
-    RetryAllowance allowance = new RetryAllowance(new RepeatSettings(0, 2, 10_000));
+    RetryAllowance allowance = new RetryAllowance(new ServiceRetrySettings(0, 2, 10_000));
     assertTrue(allowance.tryTake("s", 1, 0));
     assertTrue(allowance.tryTake("t", 1, 0));
   }
--- a/runtime/src/test/java/org/hornbeamusher/holdings/AdapterSlotsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/holdings/AdapterSlotsTest.java
@@ -14,9 +14,9 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import org.hornbeamusher.directory.HeldAdapter;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.routes.AdapterKey;
-import org.hornbeamusher.routes.VersionsInForce;
+import org.hornbeamusher.routes.LatestAdapterVersions;
 import org.junit.jupiter.api.Test;
 
 class AdapterSlotsTest {
@@ -25,7 +25,7 @@
   private static final long AFTER_STARTUP_GRACE = AdapterSlots.STARTUP_GRACE_MILLIS;
   private static final long WAIT_MILLIS = 60_000;
 
-  private final VersionsInForce versions = new VersionsInForce();
+  private final LatestAdapterVersions versions = new LatestAdapterVersions();
   private final AdapterSlots adapterSlots = new AdapterSlots(2, versions, 0);
   private long sequence;
 
@@ -43,7 +43,7 @@
     reserve(2, "b", 1, 0);
     order(0);
     assertEquals(Optional.empty(), order(0));
-    adapterSlots.orderCompleted(OrderAnswer.ACCEPTED);
+    adapterSlots.orderCompleted(OrderResult.ACCEPTED);
     report(Map.of("a", 1L));
     assertEquals(load("b"), order(0));
   }
@@ -97,7 +97,7 @@
     reserve(2, "a", 1, 0);
     reserve(3, "b", 1, 0);
     assertEquals(load("a"), order(0));
-    adapterSlots.orderCompleted(OrderAnswer.ACCEPTED);
+    adapterSlots.orderCompleted(OrderResult.ACCEPTED);
     assertEquals(Optional.empty(), order(AFTER_STARTUP_GRACE));
   }
 
@@ -216,7 +216,7 @@
     report(Map.of("a", 1L));
     reserve(1, "b", 1, 0);
     assertEquals(load("b"), order(0));
-    adapterSlots.orderCompleted(OrderAnswer.UNKNOWN);
+    adapterSlots.orderCompleted(OrderResult.UNKNOWN);
     assertTrue(adapterSlots.loading().contains(held("b", 1)));
     report(Map.of("a", 1L));
     assertEquals(load("b"), order(10));
@@ -234,7 +234,7 @@
     assertEquals(Optional.empty(), order(0));
     adapterSlots.release(id(1));
     assertEquals(load("a"), order(0));
-    adapterSlots.orderCompleted(OrderAnswer.ACCEPTED);
+    adapterSlots.orderCompleted(OrderResult.ACCEPTED);
     report(Map.of("a", 2L));
     assertEquals(List.of(id(2)), adapterSlots.takeGrants());
   }
@@ -329,7 +329,7 @@
   @Property(tries = 300, seed = "4711")
   void ordersNeverExceedSlots(
       @ForAll @Size(min = 20, max = 120) List<@IntRange(max = 99) Integer> steps) {
-    AdapterSlots tested = new AdapterSlots(3, new VersionsInForce(), 0);
+    AdapterSlots tested = new AdapterSlots(3, new LatestAdapterVersions(), 0);
     Map<AdapterKey, Long> engine = new HashMap<>();
     Map<Long, AdapterKey> running = new TreeMap<>();
     tested.recordReport(engineReport(engine, 0), 0);
@@ -340,7 +340,7 @@
       if (step < 45) {
         AdapterKey wanted = key("a" + step % 8);
         long number = ++next;
-        tested.reserve(reservation(number, new HeldAdapter(wanted, 1), now, 500), now);
+        tested.reserve(reservation(number, new AdapterVersion(wanted, 1), now, 500), now);
         running.put(number, wanted);
       } else if (step < 75 && !running.isEmpty()) {
         long first = running.keySet().iterator().next();
@@ -354,7 +354,7 @@
         if (!lost || step % 2 == 0) {
           carryOut(order.get(), engine);
         }
-        tested.orderCompleted(lost ? OrderAnswer.UNKNOWN : OrderAnswer.ACCEPTED);
+        tested.orderCompleted(lost ? OrderResult.UNKNOWN : OrderResult.ACCEPTED);
         tested.recordReport(engineReport(engine, now), now);
       }
       assertTrue(engine.size() <= 3, "more adapters than slots");
@@ -387,7 +387,7 @@
   }
 
   private static Reservation reservation(
-      long number, HeldAdapter adapter, long now, long targetMillis) {
+      long number, AdapterVersion adapter, long now, long targetMillis) {
     return new Reservation(id(number), adapter, 0, 100, now + WAIT_MILLIS, now + targetMillis);
   }
 
@@ -407,8 +407,8 @@
     return new ReservationId(7, number);
   }
 
-  private static HeldAdapter held(String adapter, long version) {
-    return new HeldAdapter(key(adapter), version);
+  private static AdapterVersion held(String adapter, long version) {
+    return new AdapterVersion(key(adapter), version);
   }
 
   private static AdapterKey key(String adapter) {
--- a/runtime/src/test/java/org/hornbeamusher/holdings/LoadTimeEstimatorTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/holdings/LoadTimeEstimatorTest.java
@@ -20,8 +20,8 @@
   /** Without observations, the figures of other engines apply. */
   @Test
   void initialEstimateWithoutObservations() {
-    assertEquals(84, times.costs().copies());
-    assertEquals(250, times.costs().storeMillis(), 10);
+    assertEquals(84, times.costs().cachedAdapters());
+    assertEquals(250, times.costs().storeLoadMillis(), 10);
   }
 
   /**
@@ -32,7 +32,7 @@
     for (int i = 0; i < 60; i++) {
       times.useEnded(504);
     }
-    assertEquals(36, times.costs().placeMillis(), 10);
+    assertEquals(36, times.costs().slotWaitMillis(), 10);
   }
 
   /** The estimate follows a slower store and its recovery within 40 loads. */
@@ -41,11 +41,11 @@
     for (int i = 0; i < 40; i++) {
       times.loadCompleted(key(i), 1_000);
     }
-    assertTrue(times.costs().storeMillis() > 900);
+    assertTrue(times.costs().storeLoadMillis() > 900);
     for (int i = 0; i < 40; i++) {
       times.loadCompleted(key(i), STORE_MILLIS);
     }
-    assertTrue(times.costs().storeMillis() < 300);
+    assertTrue(times.costs().storeLoadMillis() < 300);
   }
 
   /** One load that was executed late hardly reduces the estimated cache size. */
@@ -53,7 +53,7 @@
   void singleSlowLoadHardlyChangesCacheSize() {
     times.unloaded(key(1));
     times.loadCompleted(key(1), 2_000);
-    assertTrue(times.costs().copies() >= 70);
+    assertTrue(times.costs().cachedAdapters() >= 70);
   }
 
   @Test
@@ -62,7 +62,9 @@
     times.engineRestarted();
     times.loadCompleted(key(1), CACHED_MILLIS);
     assertEquals(
-        84, times.costs().copies(), "a load after a restart must not change the cache size");
+        84,
+        times.costs().cachedAdapters(),
+        "a load after a restart must not change the cache size");
   }
 
   /**
@@ -86,7 +88,7 @@
       unloaded.add(adapter);
       estimator.unloaded(key(adapter));
     }
-    int estimated = estimator.costs().copies();
+    int estimated = estimator.costs().cachedAdapters();
     assertTrue(
         Math.abs(estimated - cacheSize) <= 12, "estimated " + estimated + ", actual " + cacheSize);
   }
--- a/runtime/src/test/java/org/hornbeamusher/http/CancelledExchangeTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/http/CancelledExchangeTest.java
@@ -31,7 +31,7 @@
     client.start();
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       URI uri = URI.create("http://127.0.0.1:" + server.getLocalPort() + "/");
-      HttpStream stream = client.stream(HttpCall.get(uri), new Deaf());
+      HttpStream stream = client.stream(HttpRequest.get(uri), new Deaf());
       try (Socket socket = server.accept()) {
         socket.setSoTimeout(LONG_MILLIS);
         InputStream in = socket.getInputStream();
@@ -52,7 +52,7 @@
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       URI uri = URI.create("http://127.0.0.1:" + server.getLocalPort() + "/");
       CompletableFuture<Throwable> failure = new CompletableFuture<>();
-      client.stream(HttpCall.get(uri), new Withdrawn(failure));
+      client.stream(HttpRequest.get(uri), new Withdrawn(failure));
       try (Socket socket = server.accept()) {
         socket.setSoTimeout(LONG_MILLIS);
         assertEquals(0, received(socket));
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public boolean sending() {
+    public boolean shouldSend() {
       return false;
     }
 
--- a/runtime/src/test/java/org/hornbeamusher/http/ConnectionLimitTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/http/ConnectionLimitTest.java
@@ -70,7 +70,7 @@
     URI gone = URI.create("http://127.0.0.1:1/");
     for (int i = 0; i < 2; i++) {
       Outcome outcome = new Outcome();
-      client.stream(HttpCall.get(gone), outcome, CONNECT_MILLIS, 1);
+      client.stream(HttpRequest.get(gone), outcome, CONNECT_MILLIS, 1);
       assertEquals("CONNECT_FAILED", outcome.result.get(CONNECT_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
@@ -90,9 +90,9 @@
     return outcome.result.get(CONNECT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private HttpCall call(String path) {
+  private HttpRequest call(String path) {
     InetSocketAddress bound = (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
-    return HttpCall.get(URI.create("http://127.0.0.1:" + bound.getPort() + path));
+    return HttpRequest.get(URI.create("http://127.0.0.1:" + bound.getPort() + path));
   }
 
   private static final class Outcome implements HttpStreamListener {
--- a/runtime/src/test/java/org/hornbeamusher/http/HttpClientTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/http/HttpClientTest.java
@@ -19,7 +19,7 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.failure.Outcome;
 import org.hornbeamusher.transfer.IncompleteTransferException;
-import org.hornbeamusher.transfer.Transfer;
+import org.hornbeamusher.transfer.TransferStats;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -102,10 +102,10 @@
   void bodiesOfAnySizeArriveAndReturn() {
     for (int size : new int[] {0, 1, 1_000, 1_000_000}) {
       String body = "x".repeat(size);
-      HttpReply reply =
+      HttpResponse reply =
           client
               .send(
-                  HttpCall.postJson(uri("/echo"), body.getBytes(StandardCharsets.UTF_8)),
+                  HttpRequest.postJson(uri("/echo"), body.getBytes(StandardCharsets.UTF_8)),
                   TIMEOUT_MILLIS)
               .join();
       assertEquals("POST " + body, new String(reply.body(), StandardCharsets.UTF_8));
@@ -120,7 +120,7 @@
       all[i] =
           client
               .send(
-                  HttpCall.postJson(uri("/echo"), body.getBytes(StandardCharsets.UTF_8)),
+                  HttpRequest.postJson(uri("/echo"), body.getBytes(StandardCharsets.UTF_8)),
                   TIMEOUT_MILLIS)
               .thenAccept(
                   reply ->
@@ -138,7 +138,7 @@
   void refusedConnectionsAreNotRun() {
     URI nowhere = uri("/echo");
     server.stop();
-    HornbeamusherException failure = failureOf(HttpCall.get(nowhere), TIMEOUT_MILLIS);
+    HornbeamusherException failure = failureOf(HttpRequest.get(nowhere), TIMEOUT_MILLIS);
     assertEquals(FailureType.CONNECT_FAILED, failure.type());
     assertEquals(Outcome.NOT_RUN, failure.outcome());
   }
@@ -149,7 +149,7 @@
    */
   @Test
   void missingAnswersAreUnknown() {
-    HornbeamusherException failure = failureOf(HttpCall.get(uri("/never")), 50);
+    HornbeamusherException failure = failureOf(HttpRequest.get(uri("/never")), 50);
     assertEquals(FailureType.CONNECTION_CLOSED, failure.type());
     assertEquals(Outcome.UNKNOWN, failure.outcome());
   }
@@ -157,7 +157,7 @@
   /** Guards against a response that is cut because its size takes longer than a small one may. */
   @Test
   void largeResponseOverSlowConnectionArrives() {
-    HttpReply reply = client.send(HttpCall.get(uri("/slow")), SILENT_MILLIS).join();
+    HttpResponse reply = client.send(HttpRequest.get(uri("/slow")), SILENT_MILLIS).join();
     assertEquals(PARTS * PART_BYTES, reply.body().length);
     assertTrue(reply.transfer().millis() > SILENT_MILLIS, reply.transfer().toString());
     assertEquals(PARTS * PART_BYTES, reply.transfer().bytes());
@@ -166,14 +166,14 @@
   /** Guards against a failure that hides how much of the response had arrived. */
   @Test
   void responseThatStopsMidwayIsGivenUpAndSaysHowMuchCame() {
-    HornbeamusherException failure = failureOf(HttpCall.get(uri("/half")), SILENT_MILLIS);
+    HornbeamusherException failure = failureOf(HttpRequest.get(uri("/half")), SILENT_MILLIS);
     assertEquals(FailureType.CONNECTION_CLOSED, failure.type());
     assertEquals(
         Optional.of((long) PART_BYTES),
-        IncompleteTransferException.received(failure).map(Transfer::bytes));
+        IncompleteTransferException.received(failure).map(TransferStats::bytes));
   }
 
-  private HornbeamusherException failureOf(HttpCall call, long timeoutMillis) {
+  private HornbeamusherException failureOf(HttpRequest call, long timeoutMillis) {
     return HornbeamusherException.from(
         assertThrows(CompletionException.class, () -> client.send(call, timeoutMillis).join()));
   }
--- a/runtime/src/test/java/org/hornbeamusher/membership/ConnectionPlanTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/membership/ConnectionPlanTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.hornbeamusher.ids.AvailabilityZone;
-import org.hornbeamusher.membership.ConnectionPlan.Place;
+import org.hornbeamusher.membership.ConnectionPlan.AgentLocation;
 import org.junit.jupiter.api.Test;
 
 class ConnectionPlanTest {
@@ -19,12 +19,12 @@
 
   @Test
   void fewAgentsAreAllConnected() {
-    assertEquals(18, ConnectionPlan.choose("entry-1", zone(0), agents(18)).size());
+    assertEquals(18, ConnectionPlan.chooseAgents("entry-1", zone(0), agents(18)).size());
   }
 
   @Test
   void manyAgentsAreConnectedByZone() {
-    Set<String> chosen = ConnectionPlan.choose("entry-1", zone(0), agents(1_400));
+    Set<String> chosen = ConnectionPlan.chooseAgents("entry-1", zone(0), agents(1_400));
 
     assertEquals(94 + 2 * (ZONES - 1), chosen.size());
   }
@@ -35,7 +35,7 @@
     Map<String, Integer> chosenBy = new HashMap<>();
     for (int entry = 0; entry < 400; entry++) {
       AvailabilityZone zone = zone(entry % ZONES);
-      for (String agent : ConnectionPlan.choose("entry-" + entry, zone, agents(1_400))) {
+      for (String agent : ConnectionPlan.chooseAgents("entry-" + entry, zone, agents(1_400))) {
         chosenBy.merge(agent, 1, Integer::sum);
       }
     }
@@ -47,27 +47,27 @@
   /** An agent goes; the entry must not open connections to agents it did not know before. */
   @Test
   void lossOfOneAgentChangesOneConnection() {
-    List<Place> agents = agents(1_400);
-    Set<String> before = ConnectionPlan.choose("entry-1", zone(0), agents);
+    List<AgentLocation> agents = agents(1_400);
+    Set<String> before = ConnectionPlan.chooseAgents("entry-1", zone(0), agents);
     String lost =
         agents.stream()
             .filter(place -> !place.zone().equals(zone(0)))
-            .map(Place::address)
+            .map(AgentLocation::address)
             .filter(before::contains)
             .findFirst()
             .orElseThrow();
     agents.removeIf(place -> place.address().equals(lost));
 
-    Set<String> opened = new HashSet<>(ConnectionPlan.choose("entry-1", zone(0), agents));
+    Set<String> opened = new HashSet<>(ConnectionPlan.chooseAgents("entry-1", zone(0), agents));
     opened.removeAll(before);
 
     assertEquals(1, opened.size());
   }
 
-  private static List<Place> agents(int count) {
-    List<Place> agents = new ArrayList<>();
+  private static List<AgentLocation> agents(int count) {
+    List<AgentLocation> agents = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      agents.add(new Place("10.0." + i / 250 + "." + i % 250 + ":7400", zone(i % ZONES)));
+      agents.add(new AgentLocation("10.0." + i / 250 + "." + i % 250 + ":7400", zone(i % ZONES)));
     }
     return agents;
   }
--- a/runtime/src/test/java/org/hornbeamusher/membership/HeartbeatMonitorTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/membership/HeartbeatMonitorTest.java
@@ -14,7 +14,7 @@
   void heartbeatsKeepTheConnection() {
     for (long now = 1_000; now < 60_000; now += 1_000) {
       monitor.received(now);
-      assertFalse(monitor.silent(now + 500));
+      assertFalse(monitor.checkTimedOut(now + 500));
     }
   }
 
@@ -24,10 +24,10 @@
    */
   @Test
   void silentConnectionIsFoundAfterThreeMissedBeats() {
-    assertFalse(monitor.silent(1_000));
-    assertFalse(monitor.silent(2_000));
-    assertTrue(monitor.silent(3_000));
-    assertEquals(3_000, monitor.silentMillis(3_000));
+    assertFalse(monitor.checkTimedOut(1_000));
+    assertFalse(monitor.checkTimedOut(2_000));
+    assertTrue(monitor.checkTimedOut(3_000));
+    assertEquals(3_000, monitor.millisSinceReceived(3_000));
   }
 
   /**
@@ -36,25 +36,25 @@
    */
   @Test
   void ownPauseIsNotTakenForSilence() {
-    assertFalse(monitor.silent(1_000));
-    assertFalse(monitor.silent(31_000));
-    assertTrue(monitor.silent(32_000));
+    assertFalse(monitor.checkTimedOut(1_000));
+    assertFalse(monitor.checkTimedOut(31_000));
+    assertTrue(monitor.checkTimedOut(32_000));
   }
 
   @Test
   void heartbeatAfterOwnPauseKeepsTheConnection() {
-    assertFalse(monitor.silent(31_000));
+    assertFalse(monitor.checkTimedOut(31_000));
     monitor.received(31_100);
-    assertFalse(monitor.silent(32_000));
+    assertFalse(monitor.checkTimedOut(32_000));
   }
 
   /** The wall clock is set back; a dead connection must still be found. */
   @Test
   void clockThatStepsBackDelaysByThePatienceAtMost() {
     monitor.received(100_000);
-    assertFalse(monitor.silent(50_000));
-    assertFalse(monitor.silent(51_000));
-    assertFalse(monitor.silent(52_000));
-    assertTrue(monitor.silent(53_000));
+    assertFalse(monitor.checkTimedOut(50_000));
+    assertFalse(monitor.checkTimedOut(51_000));
+    assertFalse(monitor.checkTimedOut(52_000));
+    assertTrue(monitor.checkTimedOut(53_000));
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/membership/PeerCountTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/membership/PeerCountTest.java
@@ -9,11 +9,11 @@
 
   private static final long WINDOW_MILLIS = 30_000;
 
-  private final PeerCount count = new PeerCount(WINDOW_MILLIS);
+  private final RecentMaximumPeerCount count = new RecentMaximumPeerCount(WINDOW_MILLIS);
 
   @Test
   void nothingIsKnownBeforeTheFirstCount() {
-    assertEquals(OptionalInt.empty(), count.most());
+    assertEquals(OptionalInt.empty(), count.maximum());
   }
 
   /**
@@ -21,22 +21,22 @@
    */
   @Test
   void largerCountHoldsForSomeTime() {
-    count.counted(5, 0);
-    count.counted(1, 1_000);
-    count.counted(2, 2_000);
-    assertEquals(OptionalInt.of(5), count.most());
-    count.counted(2, WINDOW_MILLIS);
-    assertEquals(OptionalInt.of(5), count.most());
-    count.counted(1, WINDOW_MILLIS + 1);
-    assertEquals(OptionalInt.of(2), count.most());
+    count.record(5, 0);
+    count.record(1, 1_000);
+    count.record(2, 2_000);
+    assertEquals(OptionalInt.of(5), count.maximum());
+    count.record(2, WINDOW_MILLIS);
+    assertEquals(OptionalInt.of(5), count.maximum());
+    count.record(1, WINDOW_MILLIS + 1);
+    assertEquals(OptionalInt.of(2), count.maximum());
   }
 
   /** Guards against a process that is cut off and takes the silence for the end of its peers. */
   @Test
   void lastCountHoldsWhileNobodyCounts() {
-    count.counted(400, 0);
-    count.counted(399, 1_000);
-    count.counted(1, 100 * WINDOW_MILLIS);
-    assertEquals(OptionalInt.of(1), count.most());
+    count.record(400, 0);
+    count.record(399, 1_000);
+    count.record(1, 100 * WINDOW_MILLIS);
+    assertEquals(OptionalInt.of(1), count.maximum());
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/membership/PeerTableStateMachineTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/membership/PeerTableStateMachineTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.state.ActionChain;
 import net.jqwik.api.state.ActionChainArbitrary;
 import net.jqwik.api.state.Transformer;
-import org.hornbeamusher.ids.Incarnation;
+import org.hornbeamusher.ids.ProcessIncarnation;
 
 /** Any order of lists, introductions, leavings and lost connections at one address. */
 class PeerTableStateMachineTest {
@@ -53,13 +53,13 @@
 
     void noWorkForLeaving() {
       if (!connected || leaving) {
-        assertFalse(table.takingWork().contains(ADDRESS));
+        assertFalse(table.availablePeers().contains(ADDRESS));
       }
     }
 
     void workForPresent() {
       if (connected && !leaving) {
-        assertTrue(table.takingWork().contains(ADDRESS));
+        assertTrue(table.availablePeers().contains(ADDRESS));
       }
     }
   }
@@ -80,7 +80,7 @@
     }
 
     private static void list(World world, long instance, boolean leaving) {
-      world.table.listed(List.of(new ListedPeer(ADDRESS, "i-" + instance, leaving)));
+      world.table.updateFromList(List.of(new PeerListEntry(ADDRESS, "i-" + instance, leaving)));
       world.listedLeaving = leaving ? instance : NONE;
       world.leaving |= world.connected && world.process == world.listedLeaving;
     }
@@ -104,7 +104,8 @@
 
     private static void introduce(World world, long process, boolean later) {
       long connection = later ? world.connection + 1 : world.connection - 1;
-      world.table.introduced(ADDRESS, connection, "i-" + process, new Incarnation(process));
+      world.table.helloReceived(
+          ADDRESS, connection, "i-" + process, new ProcessIncarnation(process));
       if (!later && world.connected) {
         return;
       }
@@ -129,7 +130,7 @@
     }
 
     private static void leave(World world, long process) {
-      world.table.leaving(ADDRESS, new Incarnation(process));
+      world.table.leavingReceived(ADDRESS, new ProcessIncarnation(process));
       if (world.connected && world.process == process) {
         world.leaving = true;
       }
--- a/runtime/src/test/java/org/hornbeamusher/membership/PeerTableTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/membership/PeerTableTest.java
@@ -4,14 +4,14 @@
 
 import java.util.List;
 import java.util.Set;
-import org.hornbeamusher.ids.Incarnation;
+import org.hornbeamusher.ids.ProcessIncarnation;
 import org.junit.jupiter.api.Test;
 
 class PeerTableTest {
 
   private static final String ADDRESS = "10.0.0.1:7400";
-  private static final Incarnation FIRST = new Incarnation(11);
-  private static final Incarnation SECOND = new Incarnation(22);
+  private static final ProcessIncarnation FIRST = new ProcessIncarnation(11);
+  private static final ProcessIncarnation SECOND = new ProcessIncarnation(22);
 
   private final PeerTable table = new PeerTable();
 
@@ -20,7 +20,7 @@
     assertEquals(List.of(new PeerEvent.Connect(ADDRESS)), listed("i-1", false));
     assertEquals(List.of(), listed("i-1", false));
     assertEquals(List.of(new PeerEvent.Joined(ADDRESS, FIRST)), introduced(1, "i-1", FIRST));
-    assertEquals(Set.of(ADDRESS), table.takingWork());
+    assertEquals(Set.of(ADDRESS), table.availablePeers());
   }
 
   /**
@@ -31,8 +31,8 @@
   void emptyListTakesNoWorkingPeerAway() {
     join();
 
-    assertEquals(List.of(), table.listed(List.of()));
-    assertEquals(Set.of(ADDRESS), table.takingWork());
+    assertEquals(List.of(), table.updateFromList(List.of()));
+    assertEquals(Set.of(ADDRESS), table.availablePeers());
   }
 
   /** An agent drains; the list goes on showing it as live. It must get nothing new. */
@@ -40,9 +40,10 @@
   void ownWordOfLeavingWinsOverTheList() {
     join();
 
-    assertEquals(List.of(new PeerEvent.Leaving(ADDRESS, FIRST)), table.leaving(ADDRESS, FIRST));
+    assertEquals(
+        List.of(new PeerEvent.Leaving(ADDRESS, FIRST)), table.leavingReceived(ADDRESS, FIRST));
     assertEquals(List.of(), listed("i-1", false));
-    assertEquals(Set.of(), table.takingWork());
+    assertEquals(Set.of(), table.availablePeers());
   }
 
   /** The platform removes an instance without telling its agent. The list alone must suffice. */
@@ -51,7 +52,7 @@
     join();
 
     assertEquals(List.of(new PeerEvent.Leaving(ADDRESS, FIRST)), listed("i-1", true));
-    assertEquals(Set.of(), table.takingWork());
+    assertEquals(Set.of(), table.availablePeers());
   }
 
   /**
@@ -61,15 +62,15 @@
   @Test
   void predecessorsLeavingDoesNotApplyToItsReplacement() {
     join();
-    table.leaving(ADDRESS, FIRST);
+    table.leavingReceived(ADDRESS, FIRST);
     listed("i-1", true);
 
     assertEquals(
         List.of(new PeerEvent.Lost(ADDRESS, FIRST), new PeerEvent.Joined(ADDRESS, SECOND)),
         introduced(2, "i-2", SECOND));
-    assertEquals(List.of(), table.leaving(ADDRESS, FIRST));
+    assertEquals(List.of(), table.leavingReceived(ADDRESS, FIRST));
     assertEquals(List.of(), table.disconnected(ADDRESS, 1));
-    assertEquals(Set.of(ADDRESS), table.takingWork());
+    assertEquals(Set.of(ADDRESS), table.availablePeers());
   }
 
   /**
@@ -82,7 +83,7 @@
     introduced(2, "i-2", SECOND);
 
     assertEquals(List.of(), introduced(1, "i-1", FIRST));
-    assertEquals(Set.of(ADDRESS), table.takingWork());
+    assertEquals(Set.of(ADDRESS), table.availablePeers());
   }
 
   @Test
@@ -99,21 +100,21 @@
   @Test
   void leavingOutlivesTheConnection() {
     join();
-    table.leaving(ADDRESS, FIRST);
+    table.leavingReceived(ADDRESS, FIRST);
 
     assertEquals(List.of(), introduced(2, "i-1", FIRST));
-    assertEquals(Set.of(), table.takingWork());
+    assertEquals(Set.of(), table.availablePeers());
   }
 
   /** A draining process's connection is lost and it connects once more, without a further word. */
   @Test
   void leavingOutlivesTheLossOfTheConnection() {
     join();
-    table.leaving(ADDRESS, FIRST);
+    table.leavingReceived(ADDRESS, FIRST);
     table.disconnected(ADDRESS, 1);
 
     assertEquals(List.of(), introduced(2, "i-1", FIRST));
-    assertEquals(Set.of(), table.takingWork());
+    assertEquals(Set.of(), table.availablePeers());
   }
 
   /**
@@ -122,7 +123,7 @@
   @Test
   void departedInstanceIsNotConnectedAgainThoughListed() {
     join();
-    table.leaving(ADDRESS, FIRST);
+    table.leavingReceived(ADDRESS, FIRST);
     table.disconnected(ADDRESS, 1);
 
     assertEquals(List.of(), listed("i-1", false));
@@ -135,10 +136,11 @@
   }
 
   private List<PeerEvent> listed(String instance, boolean leaving) {
-    return table.listed(List.of(new ListedPeer(ADDRESS, instance, leaving)));
+    return table.updateFromList(List.of(new PeerListEntry(ADDRESS, instance, leaving)));
   }
 
-  private List<PeerEvent> introduced(long connection, String instance, Incarnation incarnation) {
-    return table.introduced(ADDRESS, connection, instance, incarnation);
+  private List<PeerEvent> introduced(
+      long connection, String instance, ProcessIncarnation incarnation) {
+    return table.helloReceived(ADDRESS, connection, instance, incarnation);
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/metrics/ServiceMetricsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/metrics/ServiceMetricsTest.java
@@ -21,11 +21,11 @@
 
   @Test
   void answersRefusalsAndBatchesAreCountedByService() throws Exception {
-    metrics.answered(VALUER, 500, 700, 1_500);
-    metrics.answered(VALUER, 0, 60, 800);
-    metrics.refused(VALUER, FailureType.QUEUE_FULL);
-    metrics.batch(VALUER, 4, 8);
-    metrics.batch(VALUER, 8, 8);
+    metrics.recordResponse(VALUER, 500, 700, 1_500);
+    metrics.recordResponse(VALUER, 0, 60, 800);
+    metrics.recordRefusal(VALUER, FailureType.QUEUE_FULL);
+    metrics.recordBatchSample(VALUER, 4, 8);
+    metrics.recordBatchSample(VALUER, 8, 8);
     assertEquals(0.75, metrics.batchEfficiency(VALUER));
     assertEquals(1, metrics.refusedCount(VALUER, FailureType.QUEUE_FULL));
     JsonNode json = new ObjectMapper().readTree(report.json(service -> true));
@@ -47,9 +47,9 @@
    */
   @Test
   void reportShowsVisibleServicesOnly() {
-    metrics.answered(VALUER, 0, 1, 2);
-    metrics.refused(DISPATCH, FailureType.RATE_LIMITED);
-    metrics.answered(DISPATCH, 0, 1, 2);
+    metrics.recordResponse(VALUER, 0, 1, 2);
+    metrics.recordRefusal(DISPATCH, FailureType.RATE_LIMITED);
+    metrics.recordResponse(DISPATCH, 0, 1, 2);
     new ProcessMetrics(metrics.registry()).meter(ProcessMetric.TABLE_WRITES).mark();
     String json = report.json(VALUER::equals);
     String text = report.prometheus(VALUER::equals);
@@ -60,7 +60,7 @@
 
   @Test
   void prometheusTextNamesTheServiceInLabel() {
-    metrics.answered(DISPATCH, 20, 1, 2);
+    metrics.recordResponse(DISPATCH, 20, 1, 2);
     String text = report.prometheus(service -> true);
     assertTrue(
         text.contains("hornbeamusher_service_answered_total{service=\"lm.dispatch\",} 1.0"), text);
--- a/runtime/src/test/java/org/hornbeamusher/operator/OperatorApiTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/operator/OperatorApiTest.java
@@ -22,9 +22,9 @@
 import org.hornbeamusher.clock.ManualClock;
 import org.hornbeamusher.documents.DocumentStore;
 import org.hornbeamusher.failure.FailureType;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
-import org.hornbeamusher.http.HttpReply;
+import org.hornbeamusher.http.HttpRequest;
+import org.hornbeamusher.http.HttpResponse;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.AvailabilityZone;
 import org.hornbeamusher.ids.CallerId;
@@ -41,7 +41,7 @@
 import org.hornbeamusher.security.TokenDirectory;
 import org.hornbeamusher.security.TokenHash;
 import org.hornbeamusher.status.ProcessStatus;
-import org.hornbeamusher.table.MemoryTable;
+import org.hornbeamusher.table.InMemoryTable;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -65,7 +65,7 @@
 
   private static final long TIMEOUT_MILLIS = 10_000;
 
-  private final MemoryTable table = new MemoryTable();
+  private final InMemoryTable table = new InMemoryTable();
   private final DocumentStore store =
       new DocumentStore(table, new ManualClock(5_000), () -> UUID.randomUUID().toString());
   private final ServiceMetrics metrics = new ServiceMetrics(new MetricRegistry());
@@ -113,24 +113,24 @@
     server.stop();
   }
 
-  private HttpReply call(String who, String method, String path, String body) {
+  private HttpResponse call(String who, String method, String path, String body) {
     Map<String, String> headers =
         who.isEmpty() ? Map.of() : Map.of("Authorization", "Bearer " + who + "-token");
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
     return client
-        .send(new HttpCall(method, base.resolve(path), headers, bytes), TIMEOUT_MILLIS)
+        .send(new HttpRequest(method, base.resolve(path), headers, bytes), TIMEOUT_MILLIS)
         .join();
   }
 
-  private static String text(HttpReply reply) {
+  private static String text(HttpResponse reply) {
     return new String(reply.body(), StandardCharsets.UTF_8);
   }
 
-  private static JsonNode json(HttpReply reply) throws Exception {
+  private static JsonNode json(HttpResponse reply) throws Exception {
     return new ObjectMapper().readTree(text(reply));
   }
 
-  private static void assertRefused(FailureType type, HttpReply reply) throws Exception {
+  private static void assertRefused(FailureType type, HttpResponse reply) throws Exception {
     assertEquals(type.label(), json(reply).at("/error/type").asText(), text(reply));
     assertEquals(type.httpStatus(), reply.status());
   }
@@ -139,7 +139,7 @@
     return DOCUMENT + concurrency + "\n";
   }
 
-  private HttpReply submit(String who, int base, String text) {
+  private HttpResponse submit(String who, int base, String text) {
     return call(who, "POST", "/operator/documents/haul-api?base=" + base, text);
   }
 
@@ -191,8 +191,8 @@
   @Test
   void otherPartnerReadsNothing() throws Exception {
     submit("haulage", 0, document(8));
-    metrics.answered(HAUL, 0, 1, 2);
-    metrics.answered(TRADE, 0, 1, 2);
+    metrics.recordResponse(HAUL, 0, 1, 2);
+    metrics.recordResponse(TRADE, 0, 1, 2);
     assertRefused(
         FailureType.DOCUMENT_FORBIDDEN, call("trade", "GET", "/operator/documents/haul-api", ""));
     assertRefused(
@@ -283,7 +283,7 @@
           false,
           4,
           List.of(
-              new ProcessStatus.Endpoint(
+              new ProcessStatus.EndpointStatus(
                   new EndpointId("engine-1"),
                   zone,
                   new PoolName("engines"),
@@ -294,9 +294,10 @@
                   8,
                   List.of(AdapterRef.parse("valuer-llm/ute@2")))),
           List.of(
-              new ProcessStatus.Service(HAUL, ZARQA, 1, 10, Map.of(FailureType.QUEUE_FULL, 2L)),
-              new ProcessStatus.Service(TRADE, TAWHITI, 3, 20, Map.of())),
-          List.of(new ProcessStatus.Quarantined(VALUER, "0badcafe", 9_000)));
+              new ProcessStatus.ServiceStatus(
+                  HAUL, ZARQA, 1, 10, Map.of(FailureType.QUEUE_FULL, 2L)),
+              new ProcessStatus.ServiceStatus(TRADE, TAWHITI, 3, 20, Map.of())),
+          List.of(new ProcessStatus.QuarantinedRequest(VALUER, "0badcafe", 9_000)));
     }
 
     @Override
--- a/runtime/src/test/java/org/hornbeamusher/pacing/PermitLedgerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/pacing/PermitLedgerTest.java
@@ -22,7 +22,7 @@
   private static final EndpointId TWO = new EndpointId("valuer-llm-2");
   private static final EndpointId THREE = new EndpointId("valuer-llm-3");
 
-  private final PermitLedger ledger = new PermitLedger(PermitSettings.of(Map.of()));
+  private final PermitAllocator ledger = new PermitAllocator(PermitSettings.of(Map.of()));
 
   /**
    * Guards against concurrent loads, each of which would take twice as long. The second agent gets
@@ -30,15 +30,15 @@
    */
   @Test
   void onePermitIsOutstandingAndTwoAreGrantedPerSecond() {
-    ledger.ask(ONE, ZARQA, 5, 1_000);
-    ledger.ask(TWO, TAWHITI, 1, 1_000);
+    ledger.request(ONE, ZARQA, 5, 1_000);
+    ledger.request(TWO, TAWHITI, 1, 1_000);
     assertEquals(new PermitDecision.Grant(ONE, 1, 4_000), ledger.poll(1_000));
-    assertEquals(new PermitDecision.Hold(4_000), ledger.poll(1_001));
-    ledger.done(ONE, 1);
-    assertEquals(new PermitDecision.Hold(1_500), ledger.poll(1_200));
+    assertEquals(new PermitDecision.Wait(4_000), ledger.poll(1_001));
+    ledger.release(ONE, 1);
+    assertEquals(new PermitDecision.Wait(1_500), ledger.poll(1_200));
     assertEquals(new PermitDecision.Grant(TWO, 2, 4_500), ledger.poll(1_500));
-    ledger.done(TWO, 2);
-    assertEquals(new PermitDecision.Hold(Long.MAX_VALUE), ledger.poll(9_000));
+    ledger.release(TWO, 2);
+    assertEquals(new PermitDecision.Wait(Long.MAX_VALUE), ledger.poll(9_000));
   }
 
   /**
@@ -47,21 +47,21 @@
    */
   @Test
   void permitOfCrashedAgentExpires() {
-    ledger.ask(ONE, ZARQA, 1, 0);
-    ledger.ask(TWO, TAWHITI, 1, 0);
+    ledger.request(ONE, ZARQA, 1, 0);
+    ledger.request(TWO, TAWHITI, 1, 0);
     ledger.poll(0);
-    assertEquals(new PermitDecision.Hold(3_000), ledger.poll(2_999));
+    assertEquals(new PermitDecision.Wait(3_000), ledger.poll(2_999));
     assertEquals(new PermitDecision.Grant(TWO, 2, 6_000), ledger.poll(3_000));
-    ledger.ask(THREE, TAWHITI, 1, 3_600);
-    ledger.lost(TWO);
+    ledger.request(THREE, TAWHITI, 1, 3_600);
+    ledger.removeAgent(TWO);
     assertEquals(new PermitDecision.Grant(THREE, 3, 6_600), ledger.poll(3_600));
   }
 
   /** Guards against permits granted to an agent that requested one and was then disconnected. */
   @Test
   void requestThatIsNotRepeatedIsDropped() {
-    ledger.ask(ONE, ZARQA, 1, 0);
-    assertEquals(new PermitDecision.Hold(Long.MAX_VALUE), ledger.poll(3_500));
+    ledger.request(ONE, ZARQA, 1, 0);
+    assertEquals(new PermitDecision.Wait(Long.MAX_VALUE), ledger.poll(3_500));
   }
 
   /**
@@ -71,19 +71,19 @@
    */
   @Test
   void requestThatCrossesTheGrantIsIgnored() {
-    ledger.ask(ONE, ZARQA, 1, 0);
+    ledger.request(ONE, ZARQA, 1, 0);
     ledger.poll(0);
-    ledger.ask(ONE, ZARQA, 1, 100);
-    ledger.done(ONE, 1);
-    assertEquals(new PermitDecision.Hold(Long.MAX_VALUE), ledger.poll(600));
+    ledger.request(ONE, ZARQA, 1, 100);
+    ledger.release(ONE, 1);
+    assertEquals(new PermitDecision.Wait(Long.MAX_VALUE), ledger.poll(600));
   }
 
   /** The grant was lost with its connection, and the agent requests a permit again. */
   @Test
   void requestAfterLostGrantIsServed() {
-    ledger.ask(ONE, ZARQA, 1, 0);
+    ledger.request(ONE, ZARQA, 1, 0);
     ledger.poll(0);
-    ledger.ask(ONE, ZARQA, 1, 1_000);
+    ledger.request(ONE, ZARQA, 1, 1_000);
     assertEquals(new PermitDecision.Grant(ONE, 2, 4_000), ledger.poll(1_000));
   }
 
@@ -95,14 +95,14 @@
   void floodingPartnerDoesNotStarveTheOther() {
     List<EndpointId> order = new ArrayList<>();
     long now = 0;
-    ledger.ask(TWO, TAWHITI, 0.01, now);
+    ledger.request(TWO, TAWHITI, 0.01, now);
     for (int round = 0; round < 8; round++) {
-      ledger.ask(ONE, ZARQA, 1_000, now);
+      ledger.request(ONE, ZARQA, 1_000, now);
       if (ledger.poll(now) instanceof PermitDecision.Grant grant) {
         order.add(grant.agent());
-        ledger.done(grant.agent(), grant.grant());
+        ledger.release(grant.agent(), grant.grantId());
       }
-      ledger.ask(TWO, TAWHITI, 0.01, now);
+      ledger.request(TWO, TAWHITI, 0.01, now);
       now += 500;
     }
     assertEquals(List.of(ONE, TWO, ONE, TWO, ONE, TWO, ONE, TWO), order);
@@ -111,11 +111,11 @@
   /** Guards against a clock that steps back by an hour and delays every load for an hour. */
   @Test
   void clockSetBackDelaysNextGrantByOneIntervalOnly() {
-    ledger.ask(ONE, ZARQA, 1, 3_600_000);
+    ledger.request(ONE, ZARQA, 1, 3_600_000);
     ledger.poll(3_600_000);
-    ledger.done(ONE, 1);
-    ledger.ask(TWO, TAWHITI, 1, 0);
-    assertEquals(new PermitDecision.Hold(500), ledger.poll(0));
+    ledger.release(ONE, 1);
+    ledger.request(TWO, TAWHITI, 1, 0);
+    assertEquals(new PermitDecision.Wait(500), ledger.poll(0));
   }
 
   /**
@@ -127,7 +127,7 @@
   void limitsHoldForRandomHistories(@ForAll long seed) {
     Random random = new Random(seed);
     int zarqaShare = 1 + random.nextInt(3);
-    PermitLedger drawn = new PermitLedger(PermitSettings.of(Map.of(ZARQA, zarqaShare)));
+    PermitAllocator drawn = new PermitAllocator(PermitSettings.of(Map.of(ZARQA, zarqaShare)));
     Map<EndpointId, PermitDecision.Grant> outstanding = new HashMap<>();
     Map<PartnerId, Integer> permits = new HashMap<>();
     long lastGranted = -500;
@@ -137,9 +137,9 @@
       for (int agent = 0; agent < 10; agent++) {
         EndpointId id = new EndpointId("agent-" + agent);
         if (!outstanding.containsKey(id)) {
-          drawn.ask(id, agent < 5 ? ZARQA : TAWHITI, 0.1 + random.nextInt(9), now);
+          drawn.request(id, agent < 5 ? ZARQA : TAWHITI, 0.1 + random.nextInt(9), now);
         } else if (random.nextInt(10) == 0) {
-          drawn.done(id, outstanding.remove(id).grant());
+          drawn.release(id, outstanding.remove(id).grantId());
         }
       }
       if (drawn.poll(now) instanceof PermitDecision.Grant grant) {
--- a/runtime/src/test/java/org/hornbeamusher/pacing/PermitSourceChoiceTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/pacing/PermitSourceChoiceTest.java
@@ -51,13 +51,14 @@
     EndpointId holder = PermitHolderChoice.holder("weights", agents(3)).orElseThrow();
     EndpointId self = agents(3).stream().filter(id -> !id.equals(holder)).findFirst().orElseThrow();
     PermitSourceChoice choice = new PermitSourceChoice(self, "weights");
-    PermitSource ask = new PermitSource.Holder(holder);
+    PermitSource ask = new PermitSource.RemoteHolder(holder);
     assertEquals(ask, choice.choose(agents(3), agents(3), 0));
     assertEquals(ask, choice.choose(agents(3), List.of(self), 100));
     assertEquals(ask, choice.choose(agents(3), List.of(self), 1_599));
-    assertEquals(new PermitSource.Local(), choice.choose(agents(3), List.of(self), 1_600));
+    assertEquals(new PermitSource.SelfPaced(), choice.choose(agents(3), List.of(self), 1_600));
     assertEquals(ask, choice.choose(agents(3), agents(3), 1_601));
-    assertEquals(new PermitSource.OwnLedger(), choice.choose(List.of(self), List.of(self), 1_602));
+    assertEquals(
+        new PermitSource.OwnAllocator(), choice.choose(List.of(self), List.of(self), 1_602));
   }
 
   /**
@@ -70,7 +71,7 @@
     for (int agent = 0; agent < 12; agent++) {
       LocalPacer pacer = new LocalPacer(500, agent);
       for (int now = 0; now < starts.length; now += 10) {
-        if (pacer.turn(12, now) instanceof PaceDecision.Go) {
+        if (pacer.tryAcquire(12, now) instanceof PaceDecision.Proceed) {
           starts[now]++;
         }
       }
--- a/runtime/src/test/java/org/hornbeamusher/placement/PlacerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/placement/PlacerTest.java
@@ -12,12 +12,12 @@
 import java.util.Optional;
 import java.util.Set;
 import org.hornbeamusher.availability.EndpointAvailability;
-import org.hornbeamusher.availability.StatedRetryAfter;
+import org.hornbeamusher.availability.RetryAfter;
+import org.hornbeamusher.directory.AdapterVersion;
 import org.hornbeamusher.directory.Endpoint;
-import org.hornbeamusher.directory.HeldAdapter;
 import org.hornbeamusher.holdings.LoadCosts;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 import org.hornbeamusher.routes.AdapterKey;
 import org.junit.jupiter.api.Test;
 
@@ -26,9 +26,9 @@
   private static final int ADAPTER_SLOTS = 7;
   private static final int ENGINE_SLOTS = 64;
   private static final int PLAIN_SLOTS = 4;
-  private static final HeldAdapter BASE = new HeldAdapter(new AdapterKey("m", ""), 1);
-  private static final HeldAdapter HOT = new HeldAdapter(new AdapterKey("m", "hot"), 1);
-  private static final HeldAdapter COLD = new HeldAdapter(new AdapterKey("m", "cold"), 1);
+  private static final AdapterVersion BASE = new AdapterVersion(new AdapterKey("m", ""), 1);
+  private static final AdapterVersion HOT = new AdapterVersion(new AdapterKey("m", "hot"), 1);
+  private static final AdapterVersion COLD = new AdapterVersion(new AdapterKey("m", "cold"), 1);
 
   private final Placer placer = new Placer(PlacementSettings.DEFAULT, "a");
 
@@ -36,9 +36,9 @@
   void adapterIsServedWhereItIsHeld() {
     engine("e1", "b", Set.of(HOT));
     engine("e2", "a", Set.of());
-    Placement.At at = place(HOT, 800);
+    Placement.Assigned at = place(HOT, 800);
     assertEquals("e1", at.endpoint().id().value());
-    assertTrue(at.present());
+    assertTrue(at.canStartNow());
   }
 
   /**
@@ -51,8 +51,8 @@
     engine("e2", "a", Set.of());
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 6; i++) {
-      Placement.At at = place(HOT, 9_190);
-      at.endpoint().started(request(HOT, 9_190), 0);
+      Placement.Assigned at = place(HOT, 9_190);
+      at.endpoint().requestStarted(request(HOT, 9_190), 0);
       used.add(at.endpoint().id().value());
       if (i == 0) {
         assertEquals(Set.of("e1"), used);
@@ -69,7 +69,7 @@
   void coldAdapterGoesWherePlaceIsFree() {
     engine("e1", "a", Set.of()).reportedLoad(0, 0, -3);
     engine("e2", "a", Set.of()).reportedLoad(3, 0, 1);
-    Placement.At at = place(COLD, 800);
+    Placement.Assigned at = place(COLD, 800);
     assertEquals("e2", at.endpoint().id().value());
   }
 
@@ -82,7 +82,7 @@
   void engineThatItsAgentHasLostGetsNothing() {
     EndpointView crashed = engine("e1", "a", Set.of(HOT));
     engine("e2", "b", Set.of());
-    crashed.endedByAgent();
+    crashed.markEndedByAgent();
     assertEquals("e2", place(HOT, 800).endpoint().id().value());
     assertEquals("e2", place(COLD, 800).endpoint().id().value());
   }
@@ -94,9 +94,10 @@
   @Test
   void engineThatItsAgentSeesAgainIsUsedAgain() {
     EndpointView engine = engine("e1", "a", Set.of(HOT));
-    engine.endedByAgent();
-    assertInstanceOf(Placement.Nowhere.class, placer.place("llm", request(HOT, 1), Set.of(), 0));
-    engine.reported(Set.of(BASE, HOT), Set.of(), false);
+    engine.markEndedByAgent();
+    assertInstanceOf(
+        Placement.Unplaceable.class, placer.place("llm", request(HOT, 1), Set.of(), 0));
+    engine.updateFromAgent(Set.of(BASE, HOT), Set.of(), false);
     assertEquals("e1", place(HOT, 800).endpoint().id().value());
   }
 
@@ -111,14 +112,14 @@
     engine("e2", "a", Set.of()).reportedLoad(0, 0, 1);
     Set<String> used = new HashSet<>();
     for (int i = 0; i < 2; i++) {
-      HeldAdapter rare = new HeldAdapter(new AdapterKey("m", "rare" + i), 1);
-      Placement.At at = place(rare, 800);
-      assertTrue(at.placeFree());
-      at.endpoint().started(request(rare, 800), 0);
+      AdapterVersion rare = new AdapterVersion(new AdapterKey("m", "rare" + i), 1);
+      Placement.Assigned at = place(rare, 800);
+      assertTrue(at.canLoadNow());
+      at.endpoint().requestStarted(request(rare, 800), 0);
       used.add(at.endpoint().id().value());
     }
     assertEquals(Set.of("e1", "e2"), used);
-    assertFalse(place(COLD, 800).placeFree());
+    assertFalse(place(COLD, 800).canLoadNow());
   }
 
   /**
@@ -131,13 +132,13 @@
     EndpointView slow = engine("e1", "a", Set.of(HOT));
     EndpointView normal = engine("e2", "a", Set.of(HOT));
     for (int i = 0; i < 40; i++) {
-      placer.promptTook(slow, 8_800, 600);
-      placer.promptTook(normal, 8_800, 200);
+      placer.recordFirstEventTime(slow, 8_800, 600);
+      placer.recordFirstEventTime(normal, 8_800, 200);
     }
     int sentToSlow = 0;
     for (int i = 0; i < 8; i++) {
       EndpointView chosen = place(HOT, 1_000).endpoint();
-      chosen.started(request(HOT, 1_000), 0);
+      chosen.requestStarted(request(HOT, 1_000), 0);
       sentToSlow += chosen == slow ? 1 : 0;
     }
     assertEquals(2, sentToSlow);
@@ -152,7 +153,7 @@
   void longPromptAvoidsEngineWithManyRuns() {
     engine("e1", "a", Set.of(HOT)).reportedLoad(10, 0, 1);
     EndpointView idle = engine("e2", "a", Set.of(HOT));
-    idle.started(request(HOT, 8_800), 0);
+    idle.requestStarted(request(HOT, 8_800), 0);
     assertEquals("e2", place(HOT, 8_800).endpoint().id().value());
     assertEquals("e1", place(HOT, 100).endpoint().id().value());
   }
@@ -174,7 +175,7 @@
   void requestedSlotIsCountedUntilAgentReportsIt() {
     EndpointView engine = engine("e1", "a", Set.of());
     engine.reportedLoad(0, 0, 1);
-    engine.started(request(COLD, 800), 0);
+    engine.requestStarted(request(COLD, 800), 0);
     assertEquals(0, engine.freeAdapterSlots(89));
     assertEquals(1, engine.freeAdapterSlots(90));
   }
@@ -188,9 +189,9 @@
   @Test
   void requestStaysInQueueUntilItsLoadIsOverdue() {
     engine("e1", "a", Set.of()).reportedLoad(0, 0, 1);
-    Placement.At free = place(COLD, 800);
-    assertFalse(free.worthLeavingFor(100));
-    assertTrue(free.worthLeavingFor(450));
+    Placement.Assigned free = place(COLD, 800);
+    assertFalse(free.justifiesMove(100));
+    assertTrue(free.justifiesMove(450));
   }
 
   /**
@@ -202,22 +203,22 @@
   @Test
   void requestStaysInQueueWhileNoEngineHasItsModel() {
     EndpointView engine = engine("e1", "a", Set.of());
-    engine.reported(Set.of(), Set.of(), false);
+    engine.updateFromAgent(Set.of(), Set.of(), false);
     engine.reportedLoad(0, 0, 4);
-    assertFalse(place(COLD, 800).worthLeavingFor(450));
+    assertFalse(place(COLD, 800).justifiesMove(450));
   }
 
   @Test
   void requestLeavesItsQueueForEngineThatHoldsItsAdapter() {
     engine("e1", "a", Set.of(HOT));
-    assertTrue(place(HOT, 800).worthLeavingFor(0));
+    assertTrue(place(HOT, 800).justifiesMove(0));
   }
 
   @Test
   void evictedAdapterIsLoadedAgainWhereItsCopyIs() {
     EndpointView first = engine("e1", "a", Set.of(COLD));
     engine("e2", "a", Set.of());
-    first.reported(Set.of(BASE), Set.of(), false);
+    first.updateFromAgent(Set.of(BASE), Set.of(), false);
     assertEquals("e1", place(COLD, 800).endpoint().id().value());
   }
 
@@ -231,7 +232,7 @@
   void requestWaitsAtEngineWithCopyWhenSlotIsFreeSoon() {
     EndpointView first = engine("e1", "a", Set.of(COLD));
     EndpointView other = engine("e2", "a", Set.of());
-    first.reported(Set.of(BASE), Set.of(), false);
+    first.updateFromAgent(Set.of(BASE), Set.of(), false);
     first.reportedLoad(0, 0, -1);
     other.reportedLoad(0, 0, 1);
     first.reportedCosts(new LoadCosts(250, 25, 250, 84));
@@ -250,7 +251,7 @@
   void engineWithoutFreeSlotIsSkippedForOneThatCanLoad() {
     EndpointView hot = engine("e1", "a", Set.of(HOT));
     engine("e2", "a", Set.of());
-    hot.listed(endpoint("e1", "llm", "a", 4), 0);
+    hot.updateFromList(endpoint("e1", "llm", "a", 4), 0);
     hot.reportedLoad(4, 0, 1);
     assertEquals("e1", place(HOT, 800).endpoint().id().value());
     hot.reportedLoad(24, 0, 1);
@@ -261,8 +262,8 @@
   @Test
   void numberOfCopiesIsAsReportedByAgent() {
     EndpointView engine = engine("e1", "a", Set.of(COLD));
-    engine.reported(Set.of(BASE, HOT), Set.of(), false);
-    engine.reported(Set.of(BASE), Set.of(), false);
+    engine.updateFromAgent(Set.of(BASE, HOT), Set.of(), false);
+    engine.updateFromAgent(Set.of(BASE), Set.of(), false);
     engine.reportedCosts(new LoadCosts(250, 25, 36, 2));
     assertTrue(engine.hasCopy(COLD));
     engine.reportedCosts(new LoadCosts(250, 25, 36, 1));
@@ -281,14 +282,15 @@
       add(other, id, "a", Set.of());
     }
     Placement placement = other.place("llm", request(COLD, 800), Set.of(), 0);
-    assertEquals(place(COLD, 800).endpoint().id(), ((Placement.At) placement).endpoint().id());
+    assertEquals(
+        place(COLD, 800).endpoint().id(), ((Placement.Assigned) placement).endpoint().id());
   }
 
   @Test
   void leavingEndpointGetsNothing() {
-    engine("e1", "a", Set.of(HOT)).reported(Set.of(BASE, HOT), Set.of(), true);
+    engine("e1", "a", Set.of(HOT)).updateFromAgent(Set.of(BASE, HOT), Set.of(), true);
     assertEquals(
-        new Placement.Nowhere(Placement.Reason.NO_ENDPOINT),
+        new Placement.Unplaceable(Placement.Reason.NO_ENDPOINT),
         placer.place("llm", request(HOT, 800), Set.of(), 0));
   }
 
@@ -296,7 +298,7 @@
   void triedEndpointIsNotTriedAgain() {
     engine("e1", "a", Set.of(HOT));
     assertEquals(
-        new Placement.Nowhere(Placement.Reason.ALL_TRIED),
+        new Placement.Unplaceable(Placement.Reason.ALL_TRIED),
         placer.place("llm", request(HOT, 800), Set.of(incarnation("e1")), 0));
   }
 
@@ -321,7 +323,7 @@
     near.succeeded(40);
     placer.views().get(new EndpointId("p2")).succeeded(40);
     for (int i = 0; i < 12; i++) {
-      near.started(plainRequest(), 0);
+      near.requestStarted(plainRequest(), 0);
     }
     assertEquals("p2", plainPlace(0));
   }
@@ -342,7 +344,7 @@
         new PlacementRequest(
             1, Optional.of(HOT), 3_000, 10, 0, List.of(new PromptPart("p", 2_500)));
     assertEquals(3_000, first.uncachedTokens(request));
-    first.started(request, 0);
+    first.requestStarted(request, 0);
     assertEquals(500, first.uncachedTokens(request));
   }
 
@@ -351,12 +353,13 @@
     engine("e1", "a", Set.of()).agentLost();
     engine("e2", "b", Set.of());
     assertEquals("e2", place(COLD, 800).endpoint().id().value());
-    assertFalse(place(COLD, 800).present());
+    assertFalse(place(COLD, 800).canStartNow());
   }
 
   @Test
   void requestIsNotPlacedAtServiceWithoutEndpoints() {
-    assertInstanceOf(Placement.Nowhere.class, placer.place("other", plainRequest(), Set.of(), 0));
+    assertInstanceOf(
+        Placement.Unplaceable.class, placer.place("other", plainRequest(), Set.of(), 0));
   }
 
   @Test
@@ -372,18 +375,18 @@
               new PlacementRequest(hash * 7_919L, Optional.empty(), 0, 0, 0, List.of()),
               Set.of(),
               0);
-      used.add(((Placement.At) placed).endpoint().id().value());
+      used.add(((Placement.Assigned) placed).endpoint().id().value());
     }
     assertNotEquals(1, used.size());
   }
 
-  private Placement.At place(HeldAdapter adapter, int tokens) {
-    return (Placement.At) placer.place("llm", request(adapter, tokens), Set.of(), 0);
+  private Placement.Assigned place(AdapterVersion adapter, int tokens) {
+    return (Placement.Assigned) placer.place("llm", request(adapter, tokens), Set.of(), 0);
   }
 
-  private Placement.At placeBytes(int bytes) {
+  private Placement.Assigned placeBytes(int bytes) {
     PlacementRequest request = new PlacementRequest(1, Optional.of(HOT), 800, 10, bytes, List.of());
-    return (Placement.At) placer.place("llm", request, Set.of(), 0);
+    return (Placement.Assigned) placer.place("llm", request, Set.of(), 0);
   }
 
   /** Guards against an endpoint that attracts every request because it refuses all and is idle. */
@@ -392,9 +395,9 @@
     EndpointView idle = plain("p1", "a");
     EndpointView busy = plain("p2", "b");
     for (int i = 0; i < 50; i++) {
-      busy.started(plainRequest(), 0);
+      busy.requestStarted(plainRequest(), 0);
     }
-    idle.availability().answered(new StatedRetryAfter.Millis(500), 0);
+    idle.availability().recordRetryAfter(new RetryAfter.Millis(500), 0);
     assertEquals("p2", plainPlace(499));
     assertEquals("p1", plainPlace(500));
   }
@@ -404,9 +407,16 @@
   void endpointThatHasJustStartedIsChosenAfterOthersUntilItIsWarm() {
     EndpointView started = plain("p1", "a");
     plain("p2", "b");
-    started.listed(
+    started.updateFromList(
         new Endpoint(
-            started.life(), "plain", URI.create("http://10.0.0.1:1"), "a", 2, false, 600, Set.of()),
+            started.incarnation(),
+            "plain",
+            URI.create("http://10.0.0.1:1"),
+            "a",
+            2,
+            false,
+            600,
+            Set.of()),
         0);
     assertEquals("p2", plainPlace(599));
     assertEquals("p1", plainPlace(600));
@@ -415,19 +425,19 @@
   @Test
   void shortestBackOffIsReportedWhenAllEndpointsBackOff() {
     EndpointView first = plain("p1", "a");
-    first.availability().answered(new StatedRetryAfter.Millis(500), 0);
-    plain("p2", "b").availability().answered(new StatedRetryAfter.Millis(300), 0);
+    first.availability().recordRetryAfter(new RetryAfter.Millis(500), 0);
+    plain("p2", "b").availability().recordRetryAfter(new RetryAfter.Millis(300), 0);
     assertEquals(
-        new Placement.Nowhere(Placement.Reason.ALL_BACK_OFF, 200),
-        placer.place("plain", plainRequest(), Set.of(first.life()), 100));
+        new Placement.Unplaceable(Placement.Reason.ALL_BACK_OFF, 200),
+        placer.place("plain", plainRequest(), Set.of(first.incarnation()), 100));
   }
 
   private String plainPlace(long now) {
     Placement placed = placer.place("plain", plainRequest(), Set.of(), now);
-    return ((Placement.At) placed).endpoint().id().value();
+    return ((Placement.Assigned) placed).endpoint().id().value();
   }
 
-  private static PlacementRequest request(HeldAdapter adapter, int tokens) {
+  private static PlacementRequest request(AdapterVersion adapter, int tokens) {
     return new PlacementRequest(1, Optional.of(adapter), tokens, 10, 0, List.of());
   }
 
@@ -435,12 +445,12 @@
     return new PlacementRequest(1, Optional.empty(), 0, 0, 0, List.of());
   }
 
-  private EndpointView engine(String id, String zone, Set<HeldAdapter> held) {
+  private EndpointView engine(String id, String zone, Set<AdapterVersion> held) {
     return add(placer, id, zone, held);
   }
 
-  private static EndpointView add(Placer placer, String id, String zone, Set<HeldAdapter> held) {
-    Set<HeldAdapter> all = new HashSet<>(held);
+  private static EndpointView add(Placer placer, String id, String zone, Set<AdapterVersion> held) {
+    Set<AdapterVersion> all = new HashSet<>(held);
     all.add(BASE);
     EndpointView view =
         new EndpointView(
@@ -448,7 +458,7 @@
             100_000,
             ADAPTER_SLOTS,
             new EndpointAvailability());
-    view.reported(all, Set.of(), false);
+    view.updateFromAgent(all, Set.of(), false);
     placer.views().put(view.id(), view);
     return view;
   }
@@ -466,7 +476,7 @@
         incarnation(id), service, URI.create("http://10.0.0.1:1"), zone, slots, false, 0, Set.of());
   }
 
-  private static EndpointLife incarnation(String id) {
-    return new EndpointLife(new EndpointId(id), EndpointLife.UNKNOWN_START);
+  private static EndpointIncarnation incarnation(String id) {
+    return new EndpointIncarnation(new EndpointId(id), EndpointIncarnation.UNKNOWN_START);
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/placement/PreferenceOrderTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/placement/PreferenceOrderTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.hornbeamusher.routes.AdapterKey;
-import org.hornbeamusher.routing.Rendezvous;
+import org.hornbeamusher.routing.RendezvousHash;
 
 class PreferenceOrderTest {
 
@@ -26,11 +26,12 @@
   }
 
   private static int heavier(AdapterKey adapter, long hash, long[] hashes) {
-    long key = Rendezvous.hash(adapter.toString());
+    long key = RendezvousHash.hash(adapter.toString());
     int count = 0;
     for (long other : hashes) {
       boolean heavier =
-          Long.compareUnsigned(Rendezvous.weight(key, other), Rendezvous.weight(key, hash)) > 0;
+          Long.compareUnsigned(RendezvousHash.weight(key, other), RendezvousHash.weight(key, hash))
+              > 0;
       count += heavier ? 1 : 0;
     }
     return count;
--- a/runtime/src/test/java/org/hornbeamusher/placement/RemovedEndpointTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/placement/RemovedEndpointTest.java
@@ -8,7 +8,7 @@
 import org.hornbeamusher.availability.EndpointAvailability;
 import org.hornbeamusher.directory.Endpoint;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
 import org.junit.jupiter.api.Test;
 
 class RemovedEndpointTest {
@@ -18,7 +18,7 @@
   void removedEndpointTakesNoRequestsWhateverItsAgentReports() {
     Endpoint endpoint =
         new Endpoint(
-            new EndpointLife(new EndpointId("a"), 1),
+            new EndpointIncarnation(new EndpointId("a"), 1),
             "s",
             URI.create("http://127.0.0.1:1"),
             "z",
@@ -28,8 +28,8 @@
             Set.of());
     EndpointView view = new EndpointView(endpoint, 0, 0, new EndpointAvailability());
     assertTrue(view.takesRequests(0));
-    view.removed();
-    view.reported(Set.of(), Set.of(), false);
+    view.markRemoved();
+    view.updateFromAgent(Set.of(), Set.of(), false);
     assertFalse(view.takesRequests(0));
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/process/MetricsListenerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/process/MetricsListenerTest.java
@@ -8,8 +8,8 @@
 import java.net.ServerSocket;
 import java.net.URI;
 import java.nio.charset.StandardCharsets;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
+import org.hornbeamusher.http.HttpRequest;
 import org.junit.jupiter.api.Test;
 
 class MetricsListenerTest {
@@ -28,7 +28,9 @@
     listener.start();
     byte[] body =
         client
-            .send(HttpCall.get(URI.create("http://127.0.0.1:" + port + "/metrics")), TIMEOUT_MILLIS)
+            .send(
+                HttpRequest.get(URI.create("http://127.0.0.1:" + port + "/metrics")),
+                TIMEOUT_MILLIS)
             .join()
             .body();
     listener.stop();
--- a/runtime/src/test/java/org/hornbeamusher/quarantine/QuarantineTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/quarantine/QuarantineTest.java
@@ -35,13 +35,13 @@
   // must still be answered, but no two copies of a suspect at a time.
   @Test
   void suspectRunsAloneAndNeverTwiceAtOnce() {
-    quarantine.started(POISON, 0);
-    quarantine.crashed(POISON, 10);
-    assertInstanceOf(QuarantineDecision.AllowAlone.class, quarantine.check(POISON, 20));
-    quarantine.started(POISON, 20);
+    quarantine.attemptStarted(POISON, 0);
+    quarantine.endpointCrashed(POISON, 10);
+    assertInstanceOf(QuarantineDecision.AllowIsolated.class, quarantine.check(POISON, 20));
+    quarantine.attemptStarted(POISON, 20);
     assertRefused(FailureType.SUSPECT_RUNNING, 30);
-    quarantine.ended(POISON, 40);
-    assertInstanceOf(QuarantineDecision.AllowAlone.class, quarantine.check(POISON, 50));
+    quarantine.attemptEnded(POISON, 40);
+    assertInstanceOf(QuarantineDecision.AllowIsolated.class, quarantine.check(POISON, 50));
   }
 
   // A crash leaves eight suspects, and the same order of preference would send all of them to the
@@ -49,12 +49,12 @@
   @Test
   void endpointsThatRunSuspectsAreNamedUntilTheyEnd() {
     EndpointId first = new EndpointId("valuer-1");
-    quarantine.started(7, first, 0);
+    quarantine.attemptStarted(7, first, 0);
     assertEquals(Set.of(), quarantine.endpointsRunningSuspects());
-    quarantine.crashed(7, 10);
-    quarantine.started(7, first, 20);
+    quarantine.endpointCrashed(7, 10);
+    quarantine.attemptStarted(7, first, 20);
     assertEquals(Set.of(first), quarantine.endpointsRunningSuspects());
-    quarantine.ended(7, 30);
+    quarantine.attemptEnded(7, 30);
     assertEquals(Set.of(), quarantine.endpointsRunningSuspects());
   }
 
@@ -62,25 +62,25 @@
   // cost a third endpoint its resident adapters.
   @Test
   void secondCrashPutsTheRequestIntoQuarantine() {
-    quarantine.started(POISON, 0);
-    assertEquals(1, quarantine.crashed(POISON, 10));
-    quarantine.started(POISON, 20);
-    assertEquals(2, quarantine.crashed(POISON, 30));
+    quarantine.attemptStarted(POISON, 0);
+    assertEquals(1, quarantine.endpointCrashed(POISON, 10));
+    quarantine.attemptStarted(POISON, 20);
+    assertEquals(2, quarantine.endpointCrashed(POISON, 30));
     assertRefused(FailureType.QUARANTINED, 40);
     assertRefused(FailureType.QUARANTINED, 40 + 48 * HOUR);
   }
 
   @Test
   void crashesSeenByOthersCount() {
-    quarantine.observed(POISON, 2, 0);
+    quarantine.mergeCrashCount(POISON, 2, 0);
     assertRefused(FailureType.QUARANTINED, 10);
-    quarantine.observed(POISON, 1, 20);
+    quarantine.mergeCrashCount(POISON, 1, 20);
     assertRefused(FailureType.QUARANTINED, 30);
   }
 
   @Test
   void suspectIsForgottenAfterOneDay() {
-    quarantine.observed(POISON, 1, 0);
+    quarantine.mergeCrashCount(POISON, 1, 0);
     assertInstanceOf(QuarantineDecision.Allow.class, quarantine.check(POISON, 25 * HOUR));
   }
 
@@ -88,7 +88,7 @@
   void memoryIsBounded() {
     Quarantine small = new Quarantine(new QuarantineSettings(2, HOUR, HOUR, 3));
     for (long fingerprint = 0; fingerprint < 10; fingerprint++) {
-      small.observed(fingerprint, 2, fingerprint);
+      small.mergeCrashCount(fingerprint, 2, fingerprint);
     }
     assertInstanceOf(QuarantineDecision.Allow.class, small.check(6, 10));
     assertInstanceOf(QuarantineDecision.Refuse.class, small.check(7, 10));
@@ -131,22 +131,22 @@
       Quarantine entry = entries.get(number);
       switch (entry.check(POISON, now)) {
         case QuarantineDecision.Allow allow -> start(entry, now);
-        case QuarantineDecision.AllowAlone alone -> claimAndStart(entry, now);
+        case QuarantineDecision.AllowIsolated alone -> claimAndStart(entry, now);
         case QuarantineDecision.Refuse refuse -> {}
       }
     }
 
     /** The compare-and-set fails while another entry runs it, and shows the row's count. */
     private void claimAndStart(Quarantine entry, long now) {
-      entry.observed(POISON, lostEndpoints, now);
-      boolean allowed = entry.check(POISON, now) instanceof QuarantineDecision.AllowAlone;
+      entry.mergeCrashCount(POISON, lostEndpoints, now);
+      boolean allowed = entry.check(POISON, now) instanceof QuarantineDecision.AllowIsolated;
       if (copies.isEmpty() && allowed) {
         start(entry, now);
       }
     }
 
     private void start(Quarantine entry, long now) {
-      entry.started(POISON, now);
+      entry.attemptStarted(POISON, now);
       copies.add(entry);
     }
 
@@ -156,10 +156,10 @@
         return;
       }
       lostEndpoints++;
-      copies.getFirst().crashed(POISON, now);
-      copies.stream().skip(1).forEach(entry -> entry.ended(POISON, now));
+      copies.getFirst().endpointCrashed(POISON, now);
+      copies.stream().skip(1).forEach(entry -> entry.attemptEnded(POISON, now));
       copies.clear();
-      entries.forEach(entry -> entry.observed(POISON, 1, now));
+      entries.forEach(entry -> entry.mergeCrashCount(POISON, 1, now));
     }
   }
 
@@ -174,7 +174,8 @@
 
   private static long fingerprint(
       String service, String model, String prompt, Map<String, String> parameters) {
-    return Fingerprint.of(service, model, prompt.getBytes(StandardCharsets.UTF_8), parameters);
+    return RequestFingerprint.of(
+        service, model, prompt.getBytes(StandardCharsets.UTF_8), parameters);
   }
 
   private void assertRefused(FailureType type, long now) {
--- a/runtime/src/test/java/org/hornbeamusher/quota/QuotaMeterTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/quota/QuotaMeterTest.java
@@ -149,12 +149,12 @@
   @Test
   void secondRelayReportsUsageThatTheFirstMissed() {
     QuotaMeter<String> meter = meter(1_000, 1_000);
-    meter.opened("r1");
-    meter.opened("r2");
-    meter.relayed("r1", Map.of(), 2, 2, 0);
-    meter.relayed("r2", Map.of(), 2, 2, 0);
-    meter.closed("r1");
-    meter.relayed("r2", Map.of("a", 5_000L), 2, 2, 1_000);
+    meter.relayConnected("r1");
+    meter.relayConnected("r2");
+    meter.usageReported("r1", Map.of(), 2, 2, 0);
+    meter.usageReported("r2", Map.of(), 2, 2, 0);
+    meter.relayDisconnected("r1");
+    meter.usageReported("r2", Map.of("a", 5_000L), 2, 2, 1_000);
     assertInstanceOf(QuotaDecision.Exceeded.class, meter.admit(QuotaSimulation.ACCOUNT, 1, 1_100));
   }
 
@@ -162,11 +162,11 @@
   @Test
   void usageReportedByBothRelaysCountsOnce() {
     QuotaMeter<String> meter = meter(1_000, 1_000);
-    meter.opened("r1");
-    meter.opened("r2");
-    meter.relayed("r1", Map.of(), 2, 2, 1_000);
-    meter.relayed("r1", Map.of("a", 600L), 2, 2, 1_000);
-    meter.relayed("r2", Map.of("a", 600L), 2, 2, 1_000);
+    meter.relayConnected("r1");
+    meter.relayConnected("r2");
+    meter.usageReported("r1", Map.of(), 2, 2, 1_000);
+    meter.usageReported("r1", Map.of("a", 600L), 2, 2, 1_000);
+    meter.usageReported("r2", Map.of("a", 600L), 2, 2, 1_000);
     assertInstanceOf(QuotaDecision.Admitted.class, meter.admit(QuotaSimulation.ACCOUNT, 1, 1_000));
   }
 
@@ -176,9 +176,9 @@
     QuotaMeter<String> meter = meter(1_000, 1_000);
     QuotaDecision.Admitted first = admitted(meter, 5_000, 1_000);
     assertInstanceOf(QuotaDecision.Exceeded.class, meter.admit(QuotaSimulation.ACCOUNT, 1, 1_001));
-    meter.giveBack(first.charge(), 1_001);
+    meter.refund(first.charge(), 1_001);
     admitted(meter, 1, 1_002);
-    meter.opened("r1");
+    meter.relayConnected("r1");
     assertEquals(Map.of(), meter.takeIncrements("r1"));
   }
 
@@ -197,7 +197,7 @@
   void unlimitedAccountIsNeverRefused() {
     QuotaMeter<String> meter = new QuotaMeter<>(QuotaSettings.DEFAULT, QuotaTolerance.NONE);
     AccountName name = new AccountName("free");
-    meter.configured(
+    meter.updateAccounts(
         Map.of(name, new ClientAccount(name, OptionalInt.empty(), Quota.UNLIMITED)), 0);
     assertInstanceOf(QuotaDecision.Admitted.class, meter.admit(name, Long.MAX_VALUE / 2, 0));
     assertEquals(false, meter.active());
@@ -206,15 +206,15 @@
   /** Creates the meter of a single entry, which may use the whole quota. */
   private static QuotaMeter<String> meter(long rate, long burst) {
     QuotaMeter<String> meter = new QuotaMeter<>(QuotaSettings.DEFAULT, QuotaTolerance.NONE);
-    meter.configured(
+    meter.updateAccounts(
         Map.of(
             QuotaSimulation.ACCOUNT,
             new ClientAccount(
                 QuotaSimulation.ACCOUNT, OptionalInt.empty(), QuotaSimulation.tokens(rate, burst))),
         0);
-    meter.opened("self");
-    meter.relayed("self", Map.of(), 1, 1, 0);
-    meter.relayed("self", Map.of(), 1, 1, 1_000);
+    meter.relayConnected("self");
+    meter.usageReported("self", Map.of(), 1, 1, 0);
+    meter.usageReported("self", Map.of(), 1, 1, 1_000);
     return meter;
   }
 
--- a/runtime/src/test/java/org/hornbeamusher/quota/QuotaSimulation.java
+++ b/runtime/src/test/java/org/hornbeamusher/quota/QuotaSimulation.java
@@ -88,9 +88,9 @@
     restarted.dueMillis = now;
     configure(restarted);
     for (int relay = 0; exchanging && relay < RELAYS; relay++) {
-      relays.get(relay).closed(entry, now);
-      relays.get(relay).opened(entry, "e" + entry);
-      restarted.meter.opened(relay);
+      relays.get(relay).entryDisconnected(entry, now);
+      relays.get(relay).entryConnected(entry, "e" + entry);
+      restarted.meter.relayConnected(relay);
     }
   }
 
@@ -100,7 +100,7 @@
   }
 
   private void configure(Entry entry) {
-    entry.meter.configured(
+    entry.meter.updateAccounts(
         Map.of(ACCOUNT, new ClientAccount(ACCOUNT, OptionalInt.empty(), quota)), now);
   }
 
@@ -118,11 +118,11 @@
     changed.partitionDetected = partitioned;
     for (int relay = 0; relay < RELAYS; relay++) {
       if (partitioned) {
-        relays.get(relay).closed(entry, now);
-        changed.meter.closed(relay);
+        relays.get(relay).entryDisconnected(entry, now);
+        changed.meter.relayDisconnected(relay);
       } else {
-        relays.get(relay).opened(entry, "e" + entry);
-        changed.meter.opened(relay);
+        relays.get(relay).entryConnected(entry, "e" + entry);
+        changed.meter.relayConnected(relay);
       }
     }
   }
@@ -177,7 +177,7 @@
     Entry at = entries.get(entry);
     if (at.meter.admit(ACCOUNT, cost, now) instanceof QuotaDecision.Admitted) {
       admitted.add(new long[] {now, cost});
-      if (at.meter.urgent(ACCOUNT, now)) {
+      if (at.meter.reportUrgent(ACCOUNT, now)) {
         at.dueMillis = Math.min(at.dueMillis, now + settings.urgentMillis());
       }
     } else if (within) {
@@ -190,7 +190,7 @@
     if (!exchanging || entry.partitionDetected || now < entry.dueMillis) {
       return;
     }
-    entry.dueMillis = now + settings.intervalMillis(entry.meter.entries());
+    entry.dueMillis = now + settings.intervalMillis(entry.meter.entryCount());
     int generation = entry.generation;
     for (int i = 0; i < RELAYS; i++) {
       UsageRelay<Integer> to = relays.get(i);
@@ -200,8 +200,8 @@
           number,
           () -> {
             if (entries.get(number).generation == generation) {
-              to.reported(number, increments, now);
-              if (to.changed()) {
+              to.recordReport(number, increments, now);
+              if (to.hasUnforwardedUsage()) {
                 relayDueMillis[relay] =
                     Math.min(relayDueMillis[relay], now + settings.urgentMillis());
               }
@@ -215,10 +215,10 @@
       if (exchanging && now >= relayDueMillis[i]) {
         UsageRelay<Integer> from = relays.get(i);
         relayDueMillis[i] = now + settings.intervalMillis(entries.size());
-        int reachable = from.reachable(now);
+        int reachable = from.reportingEntryCount(now);
         int relay = i;
         Map<Integer, Map<String, Long>> out = new HashMap<>();
-        from.pass(now, out::put);
+        from.forwardUsage(now, out::put);
         out.forEach(
             (number, increments) -> {
               int generation = entries.get(number).generation;
@@ -229,7 +229,7 @@
                       entries
                           .get(number)
                           .meter
-                          .relayed(relay, increments, reachable, from.size(now), now);
+                          .usageReported(relay, increments, reachable, from.entryCount(now), now);
                     }
                   });
             });
--- a/runtime/src/test/java/org/hornbeamusher/quota/UsageRelayTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/quota/UsageRelayTest.java
@@ -13,33 +13,33 @@
   /** Guards against giving the share of a partitioned entry to the others. */
   @Test
   void lostEntryIsCountedForAnHour() {
-    relay.opened(1, "a");
-    relay.opened(2, "b");
-    relay.closed(2, 0);
-    assertEquals(2, relay.size(HOUR_MILLIS - 1));
-    assertEquals(1, relay.size(HOUR_MILLIS));
+    relay.entryConnected(1, "a");
+    relay.entryConnected(2, "b");
+    relay.entryDisconnected(2, 0);
+    assertEquals(2, relay.entryCount(HOUR_MILLIS - 1));
+    assertEquals(1, relay.entryCount(HOUR_MILLIS));
   }
 
   /** Guards against counting an entry once for each of its restarts. */
   @Test
   void restartedEntryIsCountedOnce() {
-    relay.opened(1, "a");
-    relay.opened(2, "a");
-    relay.closed(1, 0);
-    assertEquals(1, relay.size(0));
-    relay.closed(2, 0);
-    relay.opened(3, "a");
-    assertEquals(1, relay.size(0));
+    relay.entryConnected(1, "a");
+    relay.entryConnected(2, "a");
+    relay.entryDisconnected(1, 0);
+    assertEquals(1, relay.entryCount(0));
+    relay.entryDisconnected(2, 0);
+    relay.entryConnected(3, "a");
+    assertEquals(1, relay.entryCount(0));
   }
 
   /** Guards against keeping a share for an entry that was taken out of service. */
   @Test
   void leavingEntryIsNotCountedOnceDisconnected() {
-    relay.opened(1, "a");
-    relay.opened(2, "b");
-    relay.left(2);
-    assertEquals(2, relay.size(0));
-    relay.closed(2, 0);
-    assertEquals(1, relay.size(0));
+    relay.entryConnected(1, "a");
+    relay.entryConnected(2, "b");
+    relay.entryLeaving(2);
+    assertEquals(2, relay.entryCount(0));
+    relay.entryDisconnected(2, 0);
+    assertEquals(1, relay.entryCount(0));
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/ratelimit/EndpointLimitTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/ratelimit/EndpointLimitTest.java
@@ -9,37 +9,37 @@
 
 class EndpointLimitTest {
 
-  private static final StatedLimit NONE = new StatedLimit.None();
+  private static final AdvertisedRateLimit NONE = new AdvertisedRateLimit.None();
 
-  private final EndpointLimit limit = new EndpointLimit();
+  private final EndpointRateLimit limit = new EndpointRateLimit();
 
   @Test
   void limitAppliesUntilLaterResponseHasNone() {
-    assertTrue(limit.answered(new StatedLimit.PerSecond(2), true, 0, 100));
+    assertTrue(limit.recordResponse(new AdvertisedRateLimit.PerSecond(2), true, 0, 100));
     assertEquals(OptionalDouble.of(2), limit.requestsPerSecond());
-    assertFalse(limit.answered(new StatedLimit.PerSecond(2), true, 50, 120));
-    assertTrue(limit.answered(NONE, true, 121, 200));
+    assertFalse(limit.recordResponse(new AdvertisedRateLimit.PerSecond(2), true, 50, 120));
+    assertTrue(limit.recordResponse(NONE, true, 121, 200));
     assertEquals(OptionalDouble.empty(), limit.requestsPerSecond());
   }
 
   /** Guards against lifting a limit by a response that was written before it but arrived later. */
   @Test
   void responseToEarlierRequestDoesNotLiftLimit() {
-    limit.answered(new StatedLimit.PerSecond(2), true, 0, 100);
-    assertFalse(limit.answered(NONE, true, 99, 300));
+    limit.recordResponse(new AdvertisedRateLimit.PerSecond(2), true, 0, 100);
+    assertFalse(limit.recordResponse(NONE, true, 99, 300));
   }
 
   /** Guards against overloading a rate-limited endpoint after a refusal without the header. */
   @Test
   void failureDoesNotLiftLimit() {
-    limit.answered(new StatedLimit.PerSecond(2), true, 0, 100);
-    assertFalse(limit.answered(NONE, false, 200, 300));
+    limit.recordResponse(new AdvertisedRateLimit.PerSecond(2), true, 0, 100);
+    assertFalse(limit.recordResponse(NONE, false, 200, 300));
   }
 
   @Test
   void invalidLimitIsIgnored() {
-    assertFalse(limit.answered(new StatedLimit.Unreadable(), true, 0, 50));
-    limit.answered(new StatedLimit.PerSecond(2), true, 60, 100);
-    assertFalse(limit.answered(new StatedLimit.Unreadable(), true, 200, 300));
+    assertFalse(limit.recordResponse(new AdvertisedRateLimit.Unreadable(), true, 0, 50));
+    limit.recordResponse(new AdvertisedRateLimit.PerSecond(2), true, 60, 100);
+    assertFalse(limit.recordResponse(new AdvertisedRateLimit.Unreadable(), true, 200, 300));
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/ratelimit/RatePermitsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/ratelimit/RatePermitsTest.java
@@ -25,27 +25,33 @@
 
   @Test
   void decisionContainsTheWaitForThePermit() {
-    assertEquals(new PermitDecision.Granted(0), permits.permit(ENDPOINT, 1, 0, 0, 1_000));
-    assertEquals(new PermitDecision.Refused(900), permits.permit(ENDPOINT, 1, 0, 500, 1_100));
-    assertEquals(new PermitDecision.Granted(900), permits.permit(ENDPOINT, 1, 0, 900, 1_100));
-    assertEquals(new PermitDecision.Refused(1_900), permits.permit(ENDPOINT, 1, 0, 900, 1_100));
+    assertEquals(new RatePermitDecision.Granted(0), permits.tryAcquire(ENDPOINT, 1, 0, 0, 1_000));
+    assertEquals(
+        new RatePermitDecision.Refused(900), permits.tryAcquire(ENDPOINT, 1, 0, 500, 1_100));
+    assertEquals(
+        new RatePermitDecision.Granted(900), permits.tryAcquire(ENDPOINT, 1, 0, 900, 1_100));
+    assertEquals(
+        new RatePermitDecision.Refused(1_900), permits.tryAcquire(ENDPOINT, 1, 0, 900, 1_100));
   }
 
   /** Guards against never sending a request again to an endpoint that advertised a limit of 0. */
   @Test
   void endpointWithLimitZeroIsTriedOccasionally() {
-    assertEquals(new PermitDecision.Granted(0), permits.permit(ENDPOINT, 0, 0, 0, 1_000));
-    assertEquals(new PermitDecision.Refused(4_000), permits.permit(ENDPOINT, 0, 0, 0, 1_000));
+    assertEquals(new RatePermitDecision.Granted(0), permits.tryAcquire(ENDPOINT, 0, 0, 0, 1_000));
+    assertEquals(
+        new RatePermitDecision.Refused(4_000), permits.tryAcquire(ENDPOINT, 0, 0, 0, 1_000));
   }
 
   @Test
   void latestAdvertisedLimitApplies() {
-    permits.permit(ENDPOINT, 1, 100, 0, 1_000);
-    permits.lifted(ENDPOINT, 99, 1_001);
-    assertEquals(new PermitDecision.Refused(998), permits.permit(ENDPOINT, 1, 100, 0, 1_002));
-    permits.lifted(ENDPOINT, 101, 1_003);
-    assertEquals(new PermitDecision.Granted(0), permits.permit(ENDPOINT, 1, 100, 0, 1_004));
-    assertEquals(new PermitDecision.Refused(993), permits.permit(ENDPOINT, 1, 1_005, 0, 1_007));
+    permits.tryAcquire(ENDPOINT, 1, 100, 0, 1_000);
+    permits.limitLifted(ENDPOINT, 99, 1_001);
+    assertEquals(
+        new RatePermitDecision.Refused(998), permits.tryAcquire(ENDPOINT, 1, 100, 0, 1_002));
+    permits.limitLifted(ENDPOINT, 101, 1_003);
+    assertEquals(new RatePermitDecision.Granted(0), permits.tryAcquire(ENDPOINT, 1, 100, 0, 1_004));
+    assertEquals(
+        new RatePermitDecision.Refused(993), permits.tryAcquire(ENDPOINT, 1, 1_005, 0, 1_007));
   }
 
   /** Entries request permits at any rate; in every window the tolerance is kept. */
@@ -83,11 +89,11 @@
         continue;
       }
       EvenShareLimiter own = shares.get(random.nextInt(entries));
-      PermitDecision decision =
+      RatePermitDecision decision =
           paced
-              ? permits.permit(ENDPOINT, perSecond, 0, mostWait, now)
+              ? permits.tryAcquire(ENDPOINT, perSecond, 0, mostWait, now)
               : own.tryAcquire(perSecond, entries, mostWait, now);
-      if (decision instanceof PermitDecision.Granted granted) {
+      if (decision instanceof RatePermitDecision.Granted granted) {
         sent.add(now + granted.waitMillis());
       }
     }
--- a/runtime/src/test/java/org/hornbeamusher/answers/AnswerAssemblerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/responses/ResponseAssemblerTest.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.answers;
+package org.hornbeamusher.responses;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -15,13 +15,13 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class AnswerAssemblerTest {
+class ResponseAssemblerTest {
 
   private static final long ATTEMPT = 7;
-  private static final AnswerState OPEN = new AnswerState.Open();
-  private static final AnswerState WHOLE = new AnswerState.Whole();
+  private static final ResponseState OPEN = new ResponseState.Open();
+  private static final ResponseState WHOLE = new ResponseState.Complete();
 
-  private final AnswerAssembler assembler = new AnswerAssembler(ATTEMPT, 8);
+  private final ResponseAssembler assembler = new ResponseAssembler(ATTEMPT, 8);
   private final StringBuilder delivered = new StringBuilder();
 
   @Test
@@ -48,8 +48,8 @@
   @Test
   void framesOfAnotherAttemptAreIgnored() {
     part(0, "a");
-    collect(assembler.part(ATTEMPT - 1, 1, bytes("x")));
-    assembler.closing(ATTEMPT - 1, 1, 0);
+    collect(assembler.partReceived(ATTEMPT - 1, 1, bytes("x")));
+    assembler.closingReceived(ATTEMPT - 1, 1, 0);
 
     assertEquals(OPEN, assembler.state());
     assertEquals("a", delivered.toString());
@@ -60,8 +60,8 @@
   void streamThatStopsIsCut() {
     part(0, "a");
 
-    assertEquals(new AnswerState.Cut(), assembler.cut());
-    assertEquals(new AnswerState.Cut(), closing(1, "a"));
+    assertEquals(new ResponseState.Truncated(), assembler.connectionEnded());
+    assertEquals(new ResponseState.Truncated(), closing(1, "a"));
   }
 
   /** A frame was garbled or belongs elsewhere; the caller must not take the answer for whole. */
@@ -69,14 +69,15 @@
   void wrongChecksumIsMismatch() {
     part(0, "a");
 
-    assertEquals(new AnswerState.Mismatch(AnswerState.Reason.CHECKSUM), closing(1, "b"));
+    assertEquals(
+        new ResponseState.Mismatch(ResponseState.MismatchReason.CHECKSUM), closing(1, "b"));
   }
 
   @Test
   void partBeyondTheStatedCountIsMismatch() {
     part(2, "c");
 
-    assertEquals(new AnswerState.Mismatch(AnswerState.Reason.COUNT), closing(2, "ab"));
+    assertEquals(new ResponseState.Mismatch(ResponseState.MismatchReason.COUNT), closing(2, "ab"));
   }
 
   @Test
@@ -84,7 +85,8 @@
     part(1, "b");
     part(1, "x");
 
-    assertEquals(new AnswerState.Mismatch(AnswerState.Reason.CONTENT), assembler.state());
+    assertEquals(
+        new ResponseState.Mismatch(ResponseState.MismatchReason.CONTENT), assembler.state());
   }
 
   /** A sender that ignores its credit must not fill this process's memory. */
@@ -94,14 +96,15 @@
     assertEquals(OPEN, assembler.state());
     part(2, "9");
 
-    assertEquals(new AnswerState.Mismatch(AnswerState.Reason.OVERFLOW), assembler.state());
+    assertEquals(
+        new ResponseState.Mismatch(ResponseState.MismatchReason.OVERFLOW), assembler.state());
   }
 
   @Property(seed = "41", tries = 500)
   void anyOrderWithRepeatsGivesTheWholeAnswerOnce(
       @ForAll @IntRange(max = 12) int count, @ForAll long seed) {
     Random random = new Random(seed);
-    AnswerAssembler large = new AnswerAssembler(ATTEMPT, 1_000);
+    ResponseAssembler large = new ResponseAssembler(ATTEMPT, 1_000);
     List<Integer> frames = new ArrayList<>();
     for (int i = 0; i <= count; i++) {
       Collections.addAll(frames, i, i);
@@ -111,8 +114,8 @@
     for (int frame : frames) {
       collect(
           frame == count
-              ? large.closing(ATTEMPT, count, checksum(whole))
-              : large.part(ATTEMPT, frame, bytes(whole.substring(frame, frame + 1))));
+              ? large.closingReceived(ATTEMPT, count, checksum(whole))
+              : large.partReceived(ATTEMPT, frame, bytes(whole.substring(frame, frame + 1))));
     }
 
     assertEquals(whole, delivered.toString());
@@ -124,7 +127,7 @@
   void anyMissingFrameKeepsTheAnswerFromBeingWhole(
       @ForAll @IntRange(min = 1, max = 12) int count, @ForAll long seed) {
     Random random = new Random(seed);
-    AnswerAssembler large = new AnswerAssembler(ATTEMPT, 1_000);
+    ResponseAssembler large = new ResponseAssembler(ATTEMPT, 1_000);
     int missing = random.nextInt(count + 1);
     String whole = "abcdefghijkl".substring(0, count);
     for (int frame = 0; frame <= count; frame++) {
@@ -132,25 +135,25 @@
         continue;
       }
       if (frame == count) {
-        large.closing(ATTEMPT, count, checksum(whole));
+        large.closingReceived(ATTEMPT, count, checksum(whole));
       } else {
-        large.part(ATTEMPT, frame, bytes(whole.substring(frame, frame + 1)));
+        large.partReceived(ATTEMPT, frame, bytes(whole.substring(frame, frame + 1)));
       }
     }
 
     assertTrue(!large.state().ended());
-    assertInstanceOf(AnswerState.Cut.class, large.cut());
+    assertInstanceOf(ResponseState.Truncated.class, large.connectionEnded());
   }
 
   private void part(long sequence, String text) {
-    collect(assembler.part(ATTEMPT, sequence, bytes(text)));
+    collect(assembler.partReceived(ATTEMPT, sequence, bytes(text)));
   }
 
-  private AnswerState closing(long count, String whole) {
-    return assembler.closing(ATTEMPT, count, checksum(whole)).state();
+  private ResponseState closing(long count, String whole) {
+    return assembler.closingReceived(ATTEMPT, count, checksum(whole)).state();
   }
 
-  private void collect(Delivery delivery) {
+  private void collect(AssemblyResult delivery) {
     delivery.parts().forEach(part -> delivered.append(new String(part, StandardCharsets.UTF_8)));
   }
 
--- a/runtime/src/test/java/org/hornbeamusher/routes/ConfigurationTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/routes/ConfigurationTest.java
@@ -27,7 +27,7 @@
   /** Guards against a response that arrives out of order and restores a deleted route. */
   @Test
   void olderConfigurationIsNotRestored() {
-    ConfigurationInForce inForce = new ConfigurationInForce();
+    CurrentConfiguration inForce = new CurrentConfiguration();
     assertTrue(inForce.offer(configuration(7)));
     assertFalse(inForce.offer(configuration(5)));
     assertFalse(inForce.offer(configuration(7)));
@@ -37,9 +37,9 @@
 
   @Test
   void adapterVersionsDoNotDecrease() {
-    VersionsInForce versions = new VersionsInForce();
+    LatestAdapterVersions versions = new LatestAdapterVersions();
     AdapterKey adapter = AdapterKey.parse("m/a");
-    assertEquals(VersionsInForce.FIRST, versions.of(adapter));
+    assertEquals(LatestAdapterVersions.FIRST, versions.of(adapter));
     assertTrue(versions.offer(adapter, 4));
     assertFalse(versions.offer(adapter, 3));
     assertEquals(4, versions.of(adapter));
--- a/runtime/src/test/java/org/hornbeamusher/routing/RouterPropertyTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/routing/RouterPropertyTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.AvailabilityZone;
 import org.hornbeamusher.ids.EndpointId;
@@ -57,8 +57,8 @@
       case 3 -> router.loadReported(id, load(adapter), now);
       case 4 -> router.attemptStarted(id, adapter, now);
       case 5 -> router.attemptEnded(id, adapter, new AttemptResult.Failed(), now);
-      case 6 -> router.attemptEnded(id, adapter, new AttemptResult.Answered(9, 900, 0, 9), now);
-      default -> router.progress(id, 90_000, 1, now);
+      case 6 -> router.attemptEnded(id, adapter, new AttemptResult.Completed(9, 900, 0, 9), now);
+      default -> router.progressReported(id, 90_000, 1, now);
     }
   }
 
@@ -68,7 +68,7 @@
     allowed.remove(excluded);
     RouteRequest request =
         new RouteRequest(
-            POOL, Optional.of(adapter), 7, new Weights(1, 1), Set.of(excluded), 10_000);
+            POOL, Optional.of(adapter), 7, new CostWeights(1, 1), Set.of(excluded), 10_000);
     switch (router.route(request, now)) {
       case RouteDecision.SendTo to -> assertTrue(allowed.contains(to.endpoint()));
       case RouteDecision.Refuse refuse -> assertEquals(Set.of(), allowed);
--- a/runtime/src/test/java/org/hornbeamusher/routing/RouterTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/routing/RouterTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.AvailabilityZone;
@@ -102,8 +102,8 @@
     Router router = router(6);
     EndpointId home = chosen(router, ADAPTER, 0);
     router.loadReported(home, load(BATCH, 4, 1_150, Set.of(ADAPTER)), 10);
-    RouteRequest patient = request(ADAPTER, Set.of(), new Weights(0, 1));
-    RouteRequest hurried = request(ADAPTER, Set.of(), new Weights(1, 0));
+    RouteRequest patient = request(ADAPTER, Set.of(), new CostWeights(0, 1));
+    RouteRequest hurried = request(ADAPTER, Set.of(), new CostWeights(1, 0));
     assertNotEquals(home, sendTo(router.route(patient, 20)));
     assertEquals(home, sendTo(router.route(hurried, 20)));
   }
@@ -209,7 +209,7 @@
     Router router = router(6);
     warm(router, 0);
     for (int i = 0; i < 40; i++) {
-      router.progress(endpoint(0), 5_000, 10, 100 + i);
+      router.progressReported(endpoint(0), 5_000, 10, 100 + i);
     }
     assertEquals(0, uses(router, endpoint(0), 200));
   }
@@ -223,7 +223,7 @@
     }
     for (int i = 0; i < 3; i++) {
       RouteRequest call =
-          new RouteRequest(POOL, Optional.empty(), 0, new Weights(1, 1), Set.of(), 1_000);
+          new RouteRequest(POOL, Optional.empty(), 0, new CostWeights(1, 1), Set.of(), 1_000);
       EndpointId to = sendTo(router.route(call, 0));
       router.attemptStarted(to, null, 0);
       used.add(to);
@@ -235,9 +235,9 @@
   void placesAreThoseOfLiveEndpoints() {
     Router router = router(3);
     warm(router, 0);
-    assertEquals(3 * BATCH, router.places(POOL));
+    assertEquals(3 * BATCH, router.batchCapacity(POOL));
     router.endpointLeft(endpoint(0), 0);
-    assertEquals(2 * BATCH, router.places(POOL));
+    assertEquals(2 * BATCH, router.batchCapacity(POOL));
   }
 
   private static Router router(int endpoints) {
@@ -284,7 +284,7 @@
   }
 
   private static AttemptResult answered(int millisPerToken) {
-    return new AttemptResult.Answered(100, 100 + 100L * millisPerToken, 0, 100);
+    return new AttemptResult.Completed(100, 100 + 100L * millisPerToken, 0, 100);
   }
 
   private static EndpointLoad load(int running, int queued, long wait, Set<AdapterRef> resident) {
@@ -304,11 +304,11 @@
   }
 
   private static RouteRequest request(AdapterRef adapter, Set<EndpointId> excluded) {
-    return request(adapter, excluded, new Weights(1, 1));
+    return request(adapter, excluded, new CostWeights(1, 1));
   }
 
   private static RouteRequest request(
-      AdapterRef adapter, Set<EndpointId> excluded, Weights weights) {
+      AdapterRef adapter, Set<EndpointId> excluded, CostWeights weights) {
     return new RouteRequest(POOL, Optional.of(adapter), 0, weights, excluded, 10_000);
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerDrainTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerDrainTest.java
@@ -68,7 +68,7 @@
   void clockSetBackDoesNotExtendDrainWindow() {
     AgentScheduler scheduler =
         new AgentScheduler(new SchedulerSettings(1, 1, 200, 1_000, 1_000, 500, false, Map.of()));
-    scheduler.leave(10_000);
+    scheduler.beginDrain(10_000);
     assertTrue(scheduler.mayStart(10_900));
     assertFalse(scheduler.mayStart(9_000));
     assertFalse(scheduler.mayStart(10_900));
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerLoadPatternsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerLoadPatternsTest.java
@@ -55,7 +55,7 @@
   @Test
   void hotCallerDoesNotDelayOthers() {
     assertEquals(100, quietCallerInTime(settings(2, 4)));
-    assertTrue(quietCallerInTime(settings(2, 4).without(Mechanism.FAIR_SHARES)) < 50);
+    assertTrue(quietCallerInTime(settings(2, 4).without(SchedulerFeature.FAIR_SHARES)) < 50);
   }
 
   private static long quietCallerInTime(SchedulerSettings settings) {
@@ -90,7 +90,8 @@
   @Test
   void returningPartnerGetsItsGuaranteedSlotsFirst() {
     assertEquals(8, slotsOfReturningPartner(settings(4, 16)));
-    assertEquals(4, slotsOfReturningPartner(settings(4, 16).without(Mechanism.GUARANTEED_PLACES)));
+    assertEquals(
+        4, slotsOfReturningPartner(settings(4, 16).without(SchedulerFeature.GUARANTEED_PLACES)));
   }
 
   /** Returns how many of the first eight slots that become free go to the returning partner. */
@@ -126,7 +127,7 @@
   @Test
   void longRequestsDoNotBlockShortOnes() {
     SchedulerSettings plain =
-        settings(2, 8).without(Mechanism.LONG_LIMIT).without(Mechanism.SHORT_FIRST);
+        settings(2, 8).without(SchedulerFeature.LONG_LIMIT).without(SchedulerFeature.SHORT_FIRST);
     double scheduled = shortWait(settings(2, 8));
     double byArrival = shortWait(plain);
     assertTrue(
@@ -165,7 +166,7 @@
       assertTrue(
           inTime >= 0.9 * ideal, times + " times the capacity: " + inTime + " in time of " + ideal);
       endpoint.results.values().forEach(AgentSchedulerLoadPatternsTest::assertRefusedOrInTime);
-      FakeEndpoint late = overloaded(settings(2, 8).without(Mechanism.EARLY_REFUSAL), times);
+      FakeEndpoint late = overloaded(settings(2, 8).without(SchedulerFeature.EARLY_REFUSAL), times);
       assertTrue(late.inTime(request -> true) < 0.6 * ideal);
     }
   }
@@ -204,7 +205,7 @@
   @Test
   void hotAdapterStaysResidentAmongRareOnes() {
     long byFrequency = hotLoads(settings(3, 8));
-    long byLastUse = hotLoads(settings(3, 8).without(Mechanism.FREQUENCY_EVICTION));
+    long byLastUse = hotLoads(settings(3, 8).without(SchedulerFeature.FREQUENCY_EVICTION));
     assertEquals(1, byFrequency);
     assertTrue(byLastUse >= 5, "loads of the hot adapter " + byLastUse);
   }
@@ -334,13 +335,13 @@
     assertTrue(valuation < 2_500, "valuation " + valuation);
     assertTrue(roster > 3_000 && roster < 4_500, "roster " + roster);
     long starved =
-        stallOfNewAdapter(settings(1, 4).without(Mechanism.DRAINING), RequestBuilder.STALLS);
+        stallOfNewAdapter(settings(1, 4).without(SchedulerFeature.DRAINING), RequestBuilder.STALLS);
     assertEquals(-1, starved);
   }
 
   /** Returns how long the new request waited for its load, or -1 if it was refused. */
   private static long stallOfNewAdapter(
-      SchedulerSettings settings, org.hornbeamusher.documents.ServiceDocument.Weights weights) {
+      SchedulerSettings settings, org.hornbeamusher.documents.ServiceDocument.CostWeights weights) {
     FakeEndpoint endpoint = new FakeEndpoint(settings);
     endpoint.every(100, 0, 30_000, RequestBuilder.valuer().withCost(300));
     long[] ticket = new long[1];
@@ -381,7 +382,7 @@
   @Test
   void rareAdapterIsNotStarved() {
     assertTrue(rareStall(settings(4, 8)) > 0);
-    assertEquals(-1, rareStall(settings(4, 8).without(Mechanism.LOAD_AGEING)));
+    assertEquals(-1, rareStall(settings(4, 8).without(SchedulerFeature.LOAD_AGEING)));
   }
 
   private static long rareStall(SchedulerSettings settings) {
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerPropertiesTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerPropertiesTest.java
@@ -102,7 +102,7 @@
                     10,
                     false,
                     Map.of(new PartnerId("zarqa"), zarqa, new PartnerId("tawhiti"), tawhiti))
-                .without(Mechanism.LONG_LIMIT));
+                .without(SchedulerFeature.LONG_LIMIT));
     int each = 130 * batch;
     for (int i = 0; i < each / lengthRatio + 1; i++) {
       endpoint.submit(
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/FakeEndpoint.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/FakeEndpoint.java
@@ -113,7 +113,7 @@
 
   /** Starts the drain of the endpoint. */
   void leave() {
-    scheduler.leave(now);
+    scheduler.beginDrain(now);
     poll();
   }
 
@@ -162,7 +162,7 @@
         case AgentAction.Start start -> start(start);
         case AgentAction.Refuse refuse -> answer(refuse.ticket(), refuse);
         case AgentAction.Load load -> load(load);
-        case AgentAction.AskPermit ask -> {}
+        case AgentAction.RequestPermit ask -> {}
       }
     }
   }
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/RequestBuilder.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/RequestBuilder.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.scheduling;
 
 import java.util.Optional;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.CallerId;
 import org.hornbeamusher.ids.PartnerId;
@@ -15,13 +15,13 @@
     String caller,
     int cost,
     long deadline,
-    Weights weights,
+    CostWeights weights,
     int serviceShare,
     int callerWeight,
     int queueLimit) {
 
-  static final Weights STALLS = new Weights(3, 1);
-  static final Weights BATCHES = new Weights(1, 3);
+  static final CostWeights STALLS = new CostWeights(3, 1);
+  static final CostWeights BATCHES = new CostWeights(1, 3);
 
   /** A request of 100 tokens for {@code valuer/a@1} with a deadline of 60 s. */
   static RequestBuilder valuer() {
@@ -104,7 +104,7 @@
         queueLimit);
   }
 
-  RequestBuilder withWeights(Weights other) {
+  RequestBuilder withWeights(CostWeights other) {
     return new RequestBuilder(
         adapter,
         partner,
--- a/runtime/src/test/java/org/hornbeamusher/settings/SettingsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/settings/SettingsTest.java
@@ -69,7 +69,7 @@
     EntrySettings settings = EntrySettings.read(write("entry.toml", ENTRY));
     assertEquals(8080, settings.http().port());
     assertEquals(LimitSettings.DEFAULT, settings.limits());
-    Identity identity = settings.tokens().find("Bearer " + TOKEN).orElseThrow();
+    Identity identity = settings.tokenDirectory().find("Bearer " + TOKEN).orElseThrow();
     Identity.Caller caller = (Identity.Caller) identity;
     assertEquals(new CallerId("dispatch-desk"), caller.id());
     assertTrue(caller.mayCall(new ServiceName("lm-dispatch"), caller.partner()));
@@ -169,7 +169,7 @@
     assertEquals(Optional.of(8), settings.capacity().slots());
     assertEquals(EndpointKind.MODEL, settings.capacity().kind());
     assertFalse(settings.capacity().fencing());
-    assertEquals(7101, settings.listen().address().getPort());
+    assertEquals(7101, settings.entryListener().address().getPort());
   }
 
   static Stream<Path> examples() throws IOException {
