--- a/runtime/src/test/java/org/hornbeamusher/companion/EngineIncarnationTrackerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/sidecar/EngineIncarnationTrackerTest.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.companion;
+package org.hornbeamusher.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.hornbeamusher.companion.EngineIncarnationTracker.Verdict;
 import org.hornbeamusher.holdings.EngineReport;
 import org.hornbeamusher.ids.EndpointId;
-import org.hornbeamusher.ids.EndpointLife;
+import org.hornbeamusher.ids.EndpointIncarnation;
+import org.hornbeamusher.sidecar.EngineIncarnationTracker.Verdict;
 import org.junit.jupiter.api.Test;
 
 class EngineIncarnationTrackerTest {
@@ -27,7 +27,7 @@
     assertFalse(tracker.needsId());
     assertEquals(Verdict.NAMED, report(100, 3));
     assertEquals(Verdict.SAME, report(100, 4));
-    assertEquals(Optional.of(new EndpointLife(ID, 100)), tracker.current());
+    assertEquals(Optional.of(new EndpointIncarnation(ID, 100)), tracker.current());
   }
 
   /**
@@ -41,7 +41,7 @@
     assertEquals(Optional.empty(), tracker.current());
     assertEquals(Verdict.SAME, report(100, 3));
     assertFalse(tracker.needsId());
-    assertEquals(Optional.of(new EndpointLife(ID, 100)), tracker.current());
+    assertEquals(Optional.of(new EndpointIncarnation(ID, 100)), tracker.current());
   }
 
   /**
@@ -63,7 +63,7 @@
     assertEquals(Verdict.RESTARTED, report(50, 0));
     tracker.idReceived(ID);
     assertEquals(Verdict.NAMED, report(50, 0));
-    assertEquals(Optional.of(new EndpointLife(ID, 50)), tracker.current());
+    assertEquals(Optional.of(new EndpointIncarnation(ID, 50)), tracker.current());
   }
 
   /**
@@ -84,21 +84,21 @@
   /** An engine that states no start time: only its count of orders shows the restart. */
   @Test
   void decreasedOrderCountIsNewIncarnation() {
-    report(EndpointLife.UNKNOWN_START, 3);
+    report(EndpointIncarnation.UNKNOWN_START, 3);
     tracker.idReceived(ID);
-    report(EndpointLife.UNKNOWN_START, 3);
-    assertEquals(Verdict.COUNT_RESET, report(EndpointLife.UNKNOWN_START, 0));
+    report(EndpointIncarnation.UNKNOWN_START, 3);
+    assertEquals(Verdict.COUNT_RESET, report(EndpointIncarnation.UNKNOWN_START, 0));
     assertTrue(tracker.needsId());
   }
 
   /** An engine without a start time may have restarted while it was unreachable. */
   @Test
   void outageWithoutStartTimeRequiresIdRequest() {
-    report(EndpointLife.UNKNOWN_START, 0);
+    report(EndpointIncarnation.UNKNOWN_START, 0);
     tracker.idReceived(ID);
-    report(EndpointLife.UNKNOWN_START, 0);
+    report(EndpointIncarnation.UNKNOWN_START, 0);
     tracker.markUnreachable();
-    assertEquals(Verdict.UNNAMED, report(EndpointLife.UNKNOWN_START, 0));
+    assertEquals(Verdict.UNNAMED, report(EndpointIncarnation.UNKNOWN_START, 0));
   }
 
   /** The engine refuses an order because it has another id, under the same start time. */
--- a/runtime/src/test/java/org/hornbeamusher/companion/EngineRestartTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/sidecar/EngineRestartTest.java
@@ -1,4 +1,4 @@
-package org.hornbeamusher.companion;
+package org.hornbeamusher.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,15 +15,15 @@
 import org.hornbeamusher.clock.ManualClock;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
+import org.hornbeamusher.fencing.FencingNumberAllocator;
 import org.hornbeamusher.holdings.EngineOrder;
 import org.hornbeamusher.holdings.EngineReport;
-import org.hornbeamusher.holdings.OrderAnswer;
+import org.hornbeamusher.holdings.OrderResult;
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.ids.FencingNumber;
-import org.hornbeamusher.lease.FencingLease;
 import org.hornbeamusher.loop.EventLoop;
 import org.hornbeamusher.routes.EngineSpec;
-import org.hornbeamusher.table.MemoryTable;
+import org.hornbeamusher.table.InMemoryTable;
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireListener;
 import org.hornbeamusher.wire.WireService;
@@ -40,14 +40,14 @@
 
   private final ManualClock clock = new ManualClock(0);
   private final Loop loop = new Loop();
-  private final MemoryTable table = new MemoryTable();
+  private final InMemoryTable table = new InMemoryTable();
   private final Engine engine = new Engine();
-  private final CompanionDaemon agent =
-      new CompanionDaemon(
-          new CompanionSettings(
+  private final SidecarDaemon agent =
+      new SidecarDaemon(
+          new SidecarSettings(
               "agent-1", "a", new InetSocketAddress("127.0.0.1", 0), Optional.empty(), "e"),
           engine,
-          new FencingLease(table, ID, "agent-1"),
+          new FencingNumberAllocator(table, ID, "agent-1"),
           new NoEntries(),
           loop,
           clock);
@@ -55,7 +55,7 @@
   @BeforeEach
   void start() {
     agent.start();
-    agent.configured(new EngineSpec(8, 100_000, 2, List.of("m")));
+    agent.updateEngineSpec(new EngineSpec(8, 100_000, 2, List.of("m")));
   }
 
   @AfterEach
@@ -106,7 +106,7 @@
     assertTrue(used > engine.accepted.get(0));
     table.down(false);
     advance(5_000);
-    assertTrue(new FencingLease(table, ID, "agent-2").acquire(0).join().value() > used);
+    assertTrue(new FencingNumberAllocator(table, ID, "agent-2").acquire(0).join().value() > used);
   }
 
   /**
@@ -120,7 +120,7 @@
     assertEquals(1, engine.accepted.size());
     engine.restart(200);
     engine.delayResults = false;
-    engine.delayedResults.forEach(result -> result.complete(OrderAnswer.ACCEPTED));
+    engine.delayedResults.forEach(result -> result.complete(OrderResult.ACCEPTED));
     advance(1_000);
     assertEquals(2, engine.accepted.size());
   }
@@ -185,10 +185,10 @@
   }
 
   /** Loads its base model when ordered to, and is busy until {@link #finishLoad}. */
-  private static final class Engine implements EngineCalls {
+  private static final class Engine implements EngineClient {
 
     private final List<Long> accepted = new ArrayList<>();
-    private final List<CompletableFuture<OrderAnswer>> delayedResults = new ArrayList<>();
+    private final List<CompletableFuture<OrderResult>> delayedResults = new ArrayList<>();
     private boolean delayResults;
     private boolean unreachable;
     private boolean leaving;
@@ -226,19 +226,19 @@
     }
 
     @Override
-    public CompletableFuture<OrderAnswer> order(
+    public CompletableFuture<OrderResult> order(
         EngineOrder order, EndpointId engine, long expectedSequence, FencingNumber fencing) {
       if (expectedSequence != sequence) {
-        return CompletableFuture.completedFuture(OrderAnswer.CONFLICT);
+        return CompletableFuture.completedFuture(OrderResult.CONFLICT);
       }
       sequence++;
       busy = true;
       accepted.add(fencing.value());
-      CompletableFuture<OrderAnswer> result = new CompletableFuture<>();
+      CompletableFuture<OrderResult> result = new CompletableFuture<>();
       if (delayResults) {
         delayedResults.add(result);
       } else {
-        result.complete(OrderAnswer.ACCEPTED);
+        result.complete(OrderResult.ACCEPTED);
       }
       return result;
     }
--- a/runtime/src/test/java/org/hornbeamusher/table/MemoryTable.java
+++ b/runtime/src/test/java/org/hornbeamusher/table/InMemoryTable.java
@@ -12,7 +12,7 @@
 import org.hornbeamusher.failure.Outcome;
 
 /** An in-memory table with fault injection. */
-public final class MemoryTable implements Table {
+public final class InMemoryTable implements Table {
 
   private final Map<String, TreeMap<String, Row>> tables = new TreeMap<>();
   private final ArrayDeque<Runnable> beforeCommits = new ArrayDeque<>();
--- a/runtime/src/test/java/org/hornbeamusher/toml/TomlCheckerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/toml/TomlCheckerTest.java
@@ -41,7 +41,8 @@
     top.tables("caller").getFirst().string("id");
     top.tables("caller").getFirst().string("partner");
     HornbeamusherException failure =
-        assertThrows(HornbeamusherException.class, () -> top.finish(FailureType.SETTINGS_INVALID));
+        assertThrows(
+            HornbeamusherException.class, () -> top.throwIfProblems(FailureType.SETTINGS_INVALID));
     assertEquals(FailureType.SETTINGS_INVALID, failure.type());
     assertEquals(
         List.of(
@@ -110,7 +111,7 @@
   @Test
   void deepNestingIsRefusedAsSyntax() {
     TomlDocument document = TomlDocument.parse("a.toml", "x = " + "[".repeat(100_000));
-    assertTrue(document.fatal().isPresent());
+    assertTrue(document.fatalProblem().isPresent());
   }
 
   @Property(seed = "20321202", tries = 500)
--- a/runtime/src/test/java/org/hornbeamusher/transfer/TransferProgressTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/transfer/TransferProgressTest.java
@@ -11,7 +11,7 @@
 
 class TransferProgressTest {
 
-  private static final TransferLimits LIMITS = new TransferLimits(450, 300);
+  private static final TransferTimeouts LIMITS = new TransferTimeouts(450, 300);
 
   private final TransferProgress progress = new TransferProgress(LIMITS, 1_000);
 
@@ -22,35 +22,35 @@
 
   @Test
   void requestThatIsStillBeingSentDoesNotTimeOut() {
-    progress.sent(1_400);
+    progress.requestPartSent(1_400);
     assertEquals(1_850, progress.dueMillis());
   }
 
   @Test
   void silentResponseTimesOutAfterStallTimeout() {
-    progress.begun(1_200);
-    progress.received(100_000, 1_250);
+    progress.responseStarted(1_200);
+    progress.bodyPartReceived(100_000, 1_250);
     assertEquals(1_550, progress.dueMillis());
-    assertEquals(new Transfer(500, 100_000), progress.transfer(1_500));
+    assertEquals(new TransferStats(500, 100_000), progress.transfer(1_500));
   }
 
   /** Guards against using a list that was sent before the process was suspended as a new one. */
   @Test
   void responseThatArrivesAfterItsTimeoutIsOverdue() {
-    progress.begun(1_400);
+    progress.responseStarted(1_400);
     assertFalse(progress.overdue());
-    progress.received(100, 1_699);
+    progress.bodyPartReceived(100, 1_699);
     assertFalse(progress.overdue());
-    progress.received(100, 7_000);
+    progress.bodyPartReceived(100, 7_000);
     assertTrue(progress.overdue());
   }
 
   /** Guards against a response that trickles in and never times out. */
   @Test
   void tricklingResponseTimesOut() {
-    progress.begun(1_000);
+    progress.responseStarted(1_000);
     for (int now = 1_010; now < 1_300; now += 10) {
-      progress.received(1, now);
+      progress.bodyPartReceived(1, now);
     }
     assertEquals(1_300, progress.dueMillis());
   }
@@ -61,20 +61,20 @@
       @ForAll @IntRange(min = 1, max = 299) int pause,
       @ForAll @IntRange(min = 1, max = 2_000) int parts) {
     TransferProgress large = new TransferProgress(LIMITS, 0);
-    large.begun(0);
+    large.responseStarted(0);
     long now = 0;
     for (int i = 0; i < parts; i++) {
       now += pause;
       assertTrue(now < large.dueMillis());
-      large.received((int) TransferProgress.MIN_PROGRESS_BYTES, now);
+      large.bodyPartReceived((int) TransferProgress.MIN_PROGRESS_BYTES, now);
     }
   }
 
   /** Guards against a retry that fails by the same timeout as the attempt before. */
   @Test
   void retriesGetLongerTimeoutsWithinBounds() {
-    assertEquals(new TransferLimits(900, 600), LIMITS.afterFailures(1));
-    assertEquals(new TransferLimits(900, 2_400), LIMITS.afterFailures(100));
-    assertEquals(new TransferLimits(1_450, 300), LIMITS.afterHold(1_000));
+    assertEquals(new TransferTimeouts(900, 600), LIMITS.afterFailures(1));
+    assertEquals(new TransferTimeouts(900, 2_400), LIMITS.afterFailures(100));
+    assertEquals(new TransferTimeouts(1_450, 300), LIMITS.afterHold(1_000));
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/watch/TableWatchTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/watch/TableWatchTest.java
@@ -14,7 +14,7 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.loop.EventLoop;
 import org.hornbeamusher.transfer.IncompleteTransferException;
-import org.hornbeamusher.transfer.Transfer;
+import org.hornbeamusher.transfer.TransferStats;
 import org.junit.jupiter.api.Test;
 
 class TableWatchTest {
@@ -175,7 +175,7 @@
                 HornbeamusherException.notRun(FailureType.PLATFORM_UNAVAILABLE, "test")
                     .causedBy(
                         new IncompleteTransferException(
-                            "timed out", new Transfer(450, 300_000), null))));
+                            "timed out", new TransferStats(450, 300_000), null))));
   }
 
   private void respond(long revision, boolean complete) {
@@ -207,20 +207,22 @@
   private final class ScriptedFeed implements ChangeFeed {
 
     @Override
-    public CompletableFuture<Page> page(String table, String after, int failures) {
+    public CompletableFuture<TablePage> page(String table, String after, int failures) {
       requests.add(after.isEmpty() ? "all" : "all after " + after);
       return next()
           .thenApply(Optional::orElseThrow)
-          .thenApply(one -> new Page(one.rows(), one.revision(), one.more(), Transfer.NONE));
+          .thenApply(
+              one -> new TablePage(one.rows(), one.revision(), one.more(), TransferStats.NONE));
     }
 
     @Override
-    public CompletableFuture<Optional<Changes>> since(
+    public CompletableFuture<Optional<TableChanges>> since(
         String table, long revision, long waitMillis, int failures) {
       requests.add("since " + revision);
       holds.add(waitMillis);
       return next()
-          .thenApply(found -> found.map(one -> new Changes(one.rows(), one.revision(), false)));
+          .thenApply(
+              found -> found.map(one -> new TableChanges(one.rows(), one.revision(), false)));
     }
 
     /** Returns the next scripted response; after the last one, requests stay pending. */
--- a/runtime/src/test/java/org/hornbeamusher/wire/ConnectionChecks.java
+++ b/runtime/src/test/java/org/hornbeamusher/wire/ConnectionChecks.java
@@ -97,7 +97,7 @@
     WireConnection first = entrySide.opened.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
     int heard = agentSide.heartbeats();
     while (agentSide.heartbeats() < heard + 30) {
-      Thread.sleep(FAST.heartbeatMillis());
+      Thread.sleep(FAST.heartbeatIntervalMillis());
     }
     first.send(new Message.Cancel(8));
     assertEquals(new Message.Cancel(8), agentSide.received.poll(LIMIT_SECONDS, TimeUnit.SECONDS));
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public synchronized void heartbeat(WireConnection connection, long digest) {
+    public synchronized void heartbeatReceived(WireConnection connection, long digest) {
       heartbeats++;
     }
   }
--- a/runtime/src/test/java/org/hornbeamusher/wire/LoopConnectionTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/wire/LoopConnectionTest.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import org.hornbeamusher.clock.SteadyClock;
+import org.hornbeamusher.clock.MonotonicClock;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.Xnio;
@@ -18,7 +18,7 @@
     if (worker == null) {
       worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
     }
-    return new LoopTransport(worker, FAST, SteadyClock.INSTANCE);
+    return new LoopTransport(worker, FAST, MonotonicClock.INSTANCE);
   }
 
   @Override
--- a/runtime/src/test/java/org/hornbeamusher/wire/MessageCodecTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/wire/MessageCodecTest.java
@@ -28,7 +28,7 @@
           new Message.Hello(1, 2, "entry", "e-1", 7, "marka", "", ""),
           new Message.Started(1, 2),
           new Message.Head(1, 200, "text/plain"),
-          new Message.Closing(4, 5, 6),
+          new Message.ResponseEnd(4, 5, 6),
           new Message.Failed(1, 201, "unknown", -1, "x", true),
           new Message.Cancel(9),
           new Message.Credit(9, 100),
@@ -37,16 +37,16 @@
           new Message.Leaving(),
           new Message.DocumentDigest(Map.of("lm-dispatch", 3L)),
           new Message.DocumentPull("lm-dispatch", 2),
-          new Message.PermitAsk("s", "e", "p", 1.5),
+          new Message.PermitRequest("s", "e", "p", 1.5),
           new Message.PermitGrant("s", 1, 2),
-          new Message.PermitDone("s", 1),
+          new Message.PermitRelease("s", 1),
           new Message.CrashNotice(5, 1),
           new Message.Holdings("i-1", List.of("m/a@1"), List.of("m/b@2"), 3, true, 1_764_000L),
           new Message.EngineCosts(250, 30, 40, 84),
           new Message.UsageReport(Map.of("depot", 9_200L, "yard", -200L)),
           new Message.UsageUpdate(Map.of("depot", 18_400L), 20, 21),
           new Message.RatePermitRequest(5, "i-1", 1.7, 40, 600),
-          new Message.RatePermitReply(5, true, 120),
+          new Message.RatePermitResponse(5, true, 120),
           new Message.RateLimitLifted("i-1", 80));
 
   @Test
--- a/tool/src/main/java/org/hornbeamusher/bench/RoutingBenchmark.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/RoutingBenchmark.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.AvailabilityZone;
 import org.hornbeamusher.ids.EndpointId;
@@ -76,7 +76,12 @@
       AdapterRef adapter = adapters[skewed(random)];
       requests[i] =
           new RouteRequest(
-              POOL, Optional.of(adapter), random.nextLong(), new Weights(3, 1), Set.of(), 10_000);
+              POOL,
+              Optional.of(adapter),
+              random.nextLong(),
+              new CostWeights(3, 1),
+              Set.of(),
+              10_000);
     }
     for (RouteRequest request : requests) {
       router.route(request, 0);
--- a/tool/src/main/java/org/hornbeamusher/bench/capacity/CapacityBenchmark.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/capacity/CapacityBenchmark.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.logging.Level;
 import org.hornbeamusher.bench.Benchmark;
-import org.hornbeamusher.events.Logging;
+import org.hornbeamusher.events.LogSetup;
 
 /** Measures slopes on this machine and works out the size of the letter from them. */
 public final class CapacityBenchmark implements Benchmark {
@@ -29,7 +29,7 @@
   @Override
   public int run(List<String> arguments) {
     PrintStream out = System.out;
-    Logging.toStandardError(Level.SEVERE);
+    LogSetup.toStandardError(Level.SEVERE);
     try {
       long base = Probes.residentBytes();
       long baseHeap = Probes.heapBytes();
--- a/tool/src/main/java/org/hornbeamusher/bench/capacity/CpuSlopes.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/capacity/CpuSlopes.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.hornbeamusher.documents.DocumentCodec;
-import org.hornbeamusher.documents.DocumentHolder;
-import org.hornbeamusher.documents.DocumentReading;
+import org.hornbeamusher.documents.DocumentParseResult;
+import org.hornbeamusher.documents.LatestDocuments;
 import org.hornbeamusher.documents.ServiceDocument;
 import org.hornbeamusher.documents.ServiceDocumentReader;
 import org.hornbeamusher.failure.FailureType;
@@ -88,7 +88,7 @@
         "change read from the table (3,000 adapters)",
         FEW,
         () -> {
-          if (!(ServiceDocumentReader.read("x", text) instanceof DocumentReading.Valid)) {
+          if (!(ServiceDocumentReader.read("x", text) instanceof DocumentParseResult.Valid)) {
             throw HornbeamusherException.notRun(FailureType.INTERNAL, "sample document");
           }
         });
@@ -96,7 +96,7 @@
 
   /** Returns the frame content by which a peer hands on one changed adapter. */
   static byte[] update() {
-    DocumentHolder peer = new DocumentHolder();
+    LatestDocuments peer = new LatestDocuments();
     peer.offer(Samples.document(0, Letter.ADAPTERS_OF_DOCUMENT, 1));
     peer.offer(Samples.document(0, Letter.ADAPTERS_OF_DOCUMENT, 2));
     return DocumentCodec.encodeUpdate(peer.updateSince(Samples.service(0), 1));
@@ -109,7 +109,7 @@
         "change pulled from a peer (3,000 adapters)",
         FEW,
         () -> {
-          DocumentHolder holder = new DocumentHolder();
+          LatestDocuments holder = new LatestDocuments();
           holder.offer(held);
           if (holder.apply(DocumentCodec.decodeUpdate(update)).isEmpty()) {
             throw HornbeamusherException.notRun(FailureType.INTERNAL, "sample update");
@@ -118,7 +118,7 @@
   }
 
   private static Slope digestHash() {
-    DocumentHolder holder = new DocumentHolder();
+    LatestDocuments holder = new LatestDocuments();
     for (int i = 0; i < Letter.DOCUMENTS; i++) {
       holder.offer(Samples.document(i, 1, 1));
     }
--- a/tool/src/main/java/org/hornbeamusher/bench/capacity/Letter.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/capacity/Letter.java
@@ -36,10 +36,11 @@
   }
 
   /** Returns every agent, spread evenly over the zones. */
-  static List<ConnectionPlan.Place> agents() {
-    List<ConnectionPlan.Place> agents = new ArrayList<>();
+  static List<ConnectionPlan.AgentLocation> agents() {
+    List<ConnectionPlan.AgentLocation> agents = new ArrayList<>();
     for (int i = 0; i < AGENTS; i++) {
-      agents.add(new ConnectionPlan.Place("10.0." + i / 250 + "." + i % 250 + ":7100", zone(i)));
+      agents.add(
+          new ConnectionPlan.AgentLocation("10.0." + i / 250 + "." + i % 250 + ":7100", zone(i)));
     }
     return agents;
   }
--- a/tool/src/main/java/org/hornbeamusher/bench/capacity/MemorySlopes.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/capacity/MemorySlopes.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.IntFunction;
-import org.hornbeamusher.documents.DocumentHolder;
+import org.hornbeamusher.documents.LatestDocuments;
 import org.hornbeamusher.documents.ServiceDocument;
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.routing.RouteRequest;
@@ -63,7 +63,7 @@
   }
 
   private static Object holderOfAdapters(int count) {
-    DocumentHolder holder = new DocumentHolder();
+    LatestDocuments holder = new LatestDocuments();
     for (int first = 0, i = 0; first < count; first += Letter.ADAPTERS_OF_DOCUMENT, i++) {
       int size = Math.min(Letter.ADAPTERS_OF_DOCUMENT, count - first);
       holder.offer(Samples.document(i, size, 1));
@@ -72,7 +72,7 @@
   }
 
   private static Object holderOfDocuments(int count) {
-    DocumentHolder holder = new DocumentHolder();
+    LatestDocuments holder = new LatestDocuments();
     for (int i = 0; i < count; i++) {
       holder.offer(Samples.document(i, 5, 1));
     }
--- a/tool/src/main/java/org/hornbeamusher/bench/capacity/Samples.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/capacity/Samples.java
@@ -38,11 +38,11 @@
   }
 
   static ServiceDocument document(int number, int adapters, long version) {
-    Map<AdapterName, ServiceDocument.Adapter> map = new HashMap<>();
+    Map<AdapterName, ServiceDocument.AdapterDeclaration> map = new HashMap<>();
     for (int i = 0; i < adapters; i++) {
       String weights = new String("valuer-llm/" + adapter(i) + "/{version}");
       int current = version > 1 && i == 0 ? 2 : 1;
-      map.put(adapter(i), new ServiceDocument.Adapter(current, List.of(1, 2), weights));
+      map.put(adapter(i), new ServiceDocument.AdapterDeclaration(current, List.of(1, 2), weights));
     }
     return new ServiceDocument(
         service(number),
@@ -51,9 +51,9 @@
         version,
         false,
         POOL,
-        new ServiceDocument.Kind.Model("valuer-base", map, true, Letter.SLOTS, BATCH),
-        new ServiceDocument.Weights(3, 1),
-        new ServiceDocument.Limits(1, 64, 5_000, 60_000, 2_048),
+        new ServiceDocument.ServiceKind.Model("valuer-base", map, true, Letter.SLOTS, BATCH),
+        new ServiceDocument.CostWeights(3, 1),
+        new ServiceDocument.ServiceLimits(1, 64, 5_000, 60_000, 2_048),
         Map.of());
   }
 
--- a/tool/src/main/java/org/hornbeamusher/bench/capacity/TableCounts.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/capacity/TableCounts.java
@@ -7,14 +7,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 import org.hornbeamusher.claims.Claim;
-import org.hornbeamusher.claims.ClaimKeeper;
 import org.hornbeamusher.claims.ClaimResult;
 import org.hornbeamusher.claims.ClaimSettings;
+import org.hornbeamusher.claims.ClaimStore;
 import org.hornbeamusher.clock.Clock;
 import org.hornbeamusher.clock.SystemClock;
-import org.hornbeamusher.documents.DocumentHolder;
 import org.hornbeamusher.documents.DocumentStore;
 import org.hornbeamusher.documents.DocumentSync;
+import org.hornbeamusher.documents.LatestDocuments;
 import org.hornbeamusher.documents.PollPlan;
 import org.hornbeamusher.documents.Principal;
 import org.hornbeamusher.failure.FailureType;
@@ -78,7 +78,7 @@
       DocumentStore store = new DocumentStore(table, clock, () -> UUID.randomUUID().toString());
       DocumentSync sync =
           new DocumentSync(
-              new DocumentHolder(),
+              new LatestDocuments(),
               store,
               clock,
               PollPlan.STANDARD,
@@ -88,8 +88,8 @@
       Calls submit = calls(() -> store.submit("x", Samples.text(5), 0, author));
       Calls change = calls(sync::poll);
       Calls poll = calls(sync::poll);
-      ClaimKeeper keeper =
-          new ClaimKeeper(
+      ClaimStore keeper =
+          new ClaimStore(
               table,
               ClaimSettings.STANDARD,
               clock,
@@ -105,7 +105,7 @@
       return new TableCounts(poll, change, submit, claims.over(CLAIMS));
     }
 
-    private void claim(ClaimKeeper keeper, int number) {
+    private void claim(ClaimStore keeper, int number) {
       long now = clock.millis();
       ClaimResult result =
           keeper
@@ -115,7 +115,7 @@
                   "fingerprint",
                   now + Duration.ofMinutes(1).toMillis())
               .join();
-      if (!(result instanceof ClaimResult.Won won)) {
+      if (!(result instanceof ClaimResult.Acquired won)) {
         throw HornbeamusherException.notRun(FailureType.INTERNAL, "the claim was not won");
       }
       Claim claim = won.claim();
--- a/tool/src/main/java/org/hornbeamusher/bench/capacity/Topology.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/capacity/Topology.java
@@ -25,7 +25,7 @@
     int hops) {
 
   static Topology plan() {
-    List<ConnectionPlan.Place> agents = Letter.agents();
+    List<ConnectionPlan.AgentLocation> agents = Letter.agents();
     Map<String, Integer> numbers = new HashMap<>();
     for (int i = 0; i < agents.size(); i++) {
       numbers.put(agents.get(i).address(), i);
@@ -35,7 +35,8 @@
     agents.forEach(agent -> entriesOf.add(new ArrayList<>()));
     for (int entry = 0; entry < Letter.ENTRIES; entry++) {
       List<Integer> chosen = new ArrayList<>();
-      for (String address : ConnectionPlan.choose("entry-" + entry, Letter.zone(entry), agents)) {
+      for (String address :
+          ConnectionPlan.chooseAgents("entry-" + entry, Letter.zone(entry), agents)) {
         chosen.add(numbers.get(address));
         entriesOf.get(numbers.get(address)).add(entry);
       }
--- a/tool/src/main/java/org/hornbeamusher/bench/capacity/WorkedTable.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/capacity/WorkedTable.java
@@ -130,7 +130,7 @@
   }
 
   private void traffic() {
-    final double beats = MILLIS_PER_SECOND / WireSettings.DEFAULT.heartbeatMillis();
+    final double beats = MILLIS_PER_SECOND / WireSettings.DEFAULT.heartbeatIntervalMillis();
     final double both = 2 * beats * frames.heartbeat();
     final double budget = Letter.BUDGET_BYTES_PER_SECOND / 1_000;
     final int entryPeers = topology.mostAgentsOfEntry();
--- a/tool/src/main/java/org/hornbeamusher/bench/faults/ClaimHistory.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/faults/ClaimHistory.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.hornbeamusher.claims.Claim;
-import org.hornbeamusher.claims.ClaimKeeper;
 import org.hornbeamusher.claims.ClaimKey;
 import org.hornbeamusher.claims.ClaimResult;
 import org.hornbeamusher.claims.ClaimSettings;
+import org.hornbeamusher.claims.ClaimStore;
 import org.hornbeamusher.failure.Outcome;
 import org.hornbeamusher.ids.ClaimToken;
 import org.hornbeamusher.ids.IdempotencyKey;
@@ -123,7 +123,9 @@
           .thenAccept(found -> result[0] = found);
       timeline.runUntil(timeline.now() - Timeline.START_MILLIS + 1_000);
       chaos.check(
-          Check.RESEND_BARRED, result[0] instanceof ClaimResult.Won, "next send: " + result[0]);
+          Check.RESEND_BARRED,
+          result[0] instanceof ClaimResult.Acquired,
+          "next send: " + result[0]);
     }
   }
 
@@ -164,19 +166,19 @@
   private final class Entry {
 
     private final Process process = new Process(timeline);
-    private final ClaimKeeper keeper;
+    private final ClaimStore keeper;
     private int drawn;
 
     Entry(int number) {
       FaultyTable table = new FaultyTable(rows, timeline, chaos, process);
       keeper =
-          new ClaimKeeper(
+          new ClaimStore(
               table,
               ClaimSettings.STANDARD,
               timeline.clock(),
               () -> new ClaimToken(number + "-" + ++drawn));
       if (breakage != Breakage.ENDS_FORGOTTEN) {
-        timeline.every(1_000, () -> process.run(keeper::writeAgain));
+        timeline.every(1_000, () -> process.run(keeper::retryPendingWrites));
       }
     }
 
@@ -188,7 +190,7 @@
 
     private void claimed(Send send, ClaimResult result) {
       switch (result) {
-        case ClaimResult.Won won -> {
+        case ClaimResult.Acquired won -> {
           send.token = won.claim().token();
           if (chaos.strikes(Fault.PROCESS_PAUSED, 0.05)) {
             process.pause(chaos.between(500, 20_000));
--- a/tool/src/main/java/org/hornbeamusher/bench/faults/DispatchAgent.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/faults/DispatchAgent.java
@@ -9,11 +9,11 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.zip.CRC32C;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.CallerId;
-import org.hornbeamusher.ids.Incarnation;
 import org.hornbeamusher.ids.PartnerId;
+import org.hornbeamusher.ids.ProcessIncarnation;
 import org.hornbeamusher.membership.HeartbeatMonitor;
 import org.hornbeamusher.scheduling.AgentAction;
 import org.hornbeamusher.scheduling.AgentScheduler;
@@ -40,7 +40,7 @@
   private final Map<Link, HeartbeatMonitor> links = new HashMap<>();
   private final Set<Long> seen = new HashSet<>();
   private final String address;
-  private final Incarnation incarnation;
+  private final ProcessIncarnation incarnation;
   private long leavingSince = NEVER;
   private long lastTicket;
   private int engineIncarnation;
@@ -69,7 +69,7 @@
     this.process = new Process(timeline);
     this.engine = new EngineFake(timeline, chaos, history.breakage());
     this.address = address;
-    this.incarnation = new Incarnation(incarnation);
+    this.incarnation = new ProcessIncarnation(incarnation);
     timeline.after(100, this::tick);
   }
 
@@ -81,7 +81,7 @@
     return address;
   }
 
-  Incarnation incarnation() {
+  ProcessIncarnation incarnation() {
     return incarnation;
   }
 
@@ -193,7 +193,7 @@
     if (second) {
       for (Link link : List.copyOf(links.keySet())) {
         link.tellEntry(() -> link.entry().heard(link));
-        if (links.get(link).silent(timeline.now())) {
+        if (links.get(link).checkTimedOut(timeline.now())) {
           closed(link);
           link.close();
         }
@@ -212,7 +212,7 @@
         case AgentAction.Start start -> start(start.ticket());
         case AgentAction.Refuse refuse -> fail(refuse.ticket());
         case AgentAction.Load load -> load(load);
-        case AgentAction.AskPermit ask -> scheduler.permitGranted(timeline.now());
+        case AgentAction.RequestPermit ask -> scheduler.permitGranted(timeline.now());
       }
     }
   }
@@ -318,7 +318,7 @@
         50,
         timeline.now(),
         request.deadlineMillis(),
-        new Weights(1, 1),
+        new CostWeights(1, 1),
         1,
         1,
         20);
--- a/tool/src/main/java/org/hornbeamusher/bench/faults/DispatchEntry.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/faults/DispatchEntry.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.hornbeamusher.answers.AnswerAssembler;
-import org.hornbeamusher.answers.AnswerState;
-import org.hornbeamusher.answers.Delivery;
 import org.hornbeamusher.membership.HeartbeatMonitor;
-import org.hornbeamusher.membership.ListedPeer;
 import org.hornbeamusher.membership.PeerEvent;
+import org.hornbeamusher.membership.PeerListEntry;
 import org.hornbeamusher.membership.PeerTable;
+import org.hornbeamusher.responses.AssemblyResult;
+import org.hornbeamusher.responses.ResponseAssembler;
+import org.hornbeamusher.responses.ResponseState;
 
 /** An entry process: the real peer table, monitors and assemblers around a small shell. */
 final class DispatchEntry {
@@ -38,13 +38,13 @@
     private final Link link;
     private final DispatchRequest request;
     private final int number;
-    private final AnswerAssembler assembler;
+    private final ResponseAssembler assembler;
 
     Attempt(long id, Link link, DispatchRequest request, int number) {
       this.link = link;
       this.request = request;
       this.number = number;
-      this.assembler = new AnswerAssembler(id, KEPT_BYTES);
+      this.assembler = new ResponseAssembler(id, KEPT_BYTES);
     }
   }
 
@@ -60,8 +60,8 @@
     return process;
   }
 
-  void listed(List<ListedPeer> list) {
-    apply(table.listed(list));
+  void listed(List<PeerListEntry> list) {
+    apply(table.updateFromList(list));
   }
 
   void introduced(Link link) {
@@ -69,7 +69,8 @@
       heard(link);
       DispatchAgent agent = link.agent();
       apply(
-          table.introduced(agent.address(), link.ordinal(), agent.instance(), agent.incarnation()));
+          table.helloReceived(
+              agent.address(), link.ordinal(), agent.instance(), agent.incarnation()));
     }
   }
 
@@ -83,7 +84,7 @@
   void leaving(Link link) {
     heard(link);
     if (history.breakage() != Breakage.LEAVING_IGNORED) {
-      apply(table.leaving(link.agent().address(), link.agent().incarnation()));
+      apply(table.leavingReceived(link.agent().address(), link.agent().incarnation()));
     }
   }
 
@@ -112,14 +113,14 @@
     if (history.breakage() == Breakage.PARTS_UNORDERED) {
       attempt.request.receive(new String(bytes, StandardCharsets.UTF_8));
     }
-    handOn(id, attempt, attempt.assembler.part(id, sequence, bytes));
+    handOn(id, attempt, attempt.assembler.partReceived(id, sequence, bytes));
   }
 
   void closing(Link link, long id, long count, long checksum) {
     heard(link);
     Attempt attempt = attempts.get(id);
     if (attempt != null) {
-      handOn(id, attempt, attempt.assembler.closing(id, count, checksum));
+      handOn(id, attempt, attempt.assembler.closingReceived(id, count, checksum));
     }
   }
 
@@ -133,10 +134,10 @@
   }
 
   private void attempt(DispatchRequest request, int number, Set<String> excluded) {
-    List<String> choices = new ArrayList<>(table.takingWork());
+    List<String> choices = new ArrayList<>(table.availablePeers());
     choices.removeAll(excluded);
     if (choices.isEmpty()) {
-      request.end(new AnswerState.Cut());
+      request.end(new ResponseState.Truncated());
       return;
     }
     Link link = links.get(chaos.one(choices));
@@ -156,7 +157,7 @@
         agent.address() + " leaves since " + (timeline.now() - agent.leavingSince()) + " ms");
   }
 
-  private void handOn(long id, Attempt attempt, Delivery delivery) {
+  private void handOn(long id, Attempt attempt, AssemblyResult delivery) {
     if (history.breakage() != Breakage.PARTS_UNORDERED) {
       delivery
           .parts()
@@ -189,7 +190,7 @@
       return;
     }
     if (attempt.request.receivedAny() || attempt.number == MOST_ATTEMPTS) {
-      attempt.request.end(attempt.assembler.cut());
+      attempt.request.end(attempt.assembler.connectionEnded());
       return;
     }
     Set<String> excluded = new HashSet<>(Set.of(attempt.link.agent().address()));
@@ -207,14 +208,14 @@
     for (long id : open) {
       Attempt attempt = attempts.remove(id);
       attempt.link.toAgent(() -> attempt.link.agent().cancelled(attempt.link, id));
-      request.end(attempt.assembler.cut());
+      request.end(attempt.assembler.connectionEnded());
     }
   }
 
   private void beat() {
     for (Link link : List.copyOf(monitors.keySet())) {
       link.tellAgent(() -> link.agent().heard(link));
-      if (monitors.get(link).silent(timeline.now())) {
+      if (monitors.get(link).checkTimedOut(timeline.now())) {
         closed(link);
         link.close();
       }
--- a/tool/src/main/java/org/hornbeamusher/bench/faults/DispatchHistory.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/faults/DispatchHistory.java
@@ -9,7 +9,7 @@
 import org.hornbeamusher.ids.AdapterName;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.ServiceName;
-import org.hornbeamusher.membership.ListedPeer;
+import org.hornbeamusher.membership.PeerListEntry;
 
 /**
  * Two entries send requests to three agents while agents drain, die and are replaced at the same
@@ -115,11 +115,12 @@
 
   /** The platform's list as it was some seconds ago. */
   private void list() {
-    List<ListedPeer> now = new ArrayList<>();
+    List<PeerListEntry> now = new ArrayList<>();
     agents
         .values()
         .forEach(
-            agent -> now.add(new ListedPeer(agent.address(), agent.instance(), agent.leaving())));
+            agent ->
+                now.add(new PeerListEntry(agent.address(), agent.instance(), agent.leaving())));
     for (DispatchEntry entry : entries) {
       long lag = timeline.now() == Timeline.START_MILLIS ? 0 : LIST_LAG_MILLIS;
       timeline.after(lag, () -> entry.process().run(() -> entry.listed(now)));
--- a/tool/src/main/java/org/hornbeamusher/bench/faults/DispatchRequest.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/faults/DispatchRequest.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.hornbeamusher.answers.AnswerState;
 import org.hornbeamusher.ids.AdapterRef;
+import org.hornbeamusher.responses.ResponseState;
 
 /** One repeatable request, and what its caller has received so far. */
 final class DispatchRequest {
@@ -13,7 +13,7 @@
   private final int parts;
   private final long deadlineMillis;
   private final StringBuilder received = new StringBuilder();
-  private final List<AnswerState> ends = new ArrayList<>();
+  private final List<ResponseState> ends = new ArrayList<>();
 
   DispatchRequest(int number, AdapterRef adapter, int parts, long deadlineMillis) {
     this.number = number;
@@ -47,7 +47,7 @@
     return !received.isEmpty();
   }
 
-  void end(AnswerState state) {
+  void end(ResponseState state) {
     ends.add(state);
   }
 
@@ -64,7 +64,7 @@
     for (int part = 0; part < parts; part++) {
       expected.append(part(adapter, part));
     }
-    boolean whole = ends.contains(new AnswerState.Whole());
+    boolean whole = ends.contains(new ResponseState.Complete());
     boolean own =
         whole
             ? received.toString().contentEquals(expected)
--- a/tool/src/main/java/org/hornbeamusher/bench/faults/DocumentHistory.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/faults/DocumentHistory.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
-import org.hornbeamusher.documents.DocumentHolder;
 import org.hornbeamusher.documents.DocumentPeer;
 import org.hornbeamusher.documents.DocumentStore;
 import org.hornbeamusher.documents.DocumentSync;
 import org.hornbeamusher.documents.DocumentUpdate;
+import org.hornbeamusher.documents.LatestDocuments;
 import org.hornbeamusher.documents.PollPlan;
 import org.hornbeamusher.documents.Principal;
 import org.hornbeamusher.documents.ServiceDocument;
@@ -112,7 +112,7 @@
 
   private long currentVersion(Team team) {
     return nodes.stream()
-        .flatMap(node -> node.holder.held(team.name()).stream())
+        .flatMap(node -> node.holder.latest(team.name()).stream())
         .mapToLong(ServiceDocument::version)
         .max()
         .orElse(0);
@@ -155,7 +155,7 @@
     from.process.run(
         () -> {
           long hash = from.holder.digestHash();
-          transfer(to, () -> to.sync.heard(to.peer(from), hash));
+          transfer(to, () -> to.sync.digestHashReceived(to.peer(from), hash));
         });
   }
 
@@ -179,7 +179,7 @@
       boolean same =
           latest == 0
               || node.holder
-                  .held(team.name())
+                  .latest(team.name())
                   .filter(held -> held.equals(trail.getLast().document()))
                   .isPresent();
       chaos.check(
@@ -208,7 +208,7 @@
   private final class Node {
 
     private final Process process = new Process(timeline);
-    private final DocumentHolder holder = new DocumentHolder();
+    private final LatestDocuments holder = new LatestDocuments();
     private final Map<ServiceName, Long> inForce = new HashMap<>();
     private final Map<Node, DocumentPeer> peers = new HashMap<>();
     private final DocumentStore store =
@@ -221,7 +221,7 @@
             holder, store, timeline.clock(), PollPlan.STANDARD, () -> ENTRIES, chaos.random());
 
     Node(boolean polls) {
-      sync.listen(document -> observe(document.service(), document.version()));
+      sync.addListener(document -> observe(document.service(), document.version()));
       if (polls && breakage != Breakage.DOCUMENTS_NOT_PULLED) {
         pollAfter(PollPlan.STANDARD.firstDelayMillis(ENTRIES, chaos.random().nextDouble()));
       }
@@ -295,10 +295,10 @@
       private void arrived(DocumentUpdate update, CompletableFuture<DocumentUpdate> answer) {
         if (breakage == Breakage.LAST_DOCUMENT_WINS) {
           switch (update) {
-            case DocumentUpdate.Nothing nothing -> {}
-            case DocumentUpdate.Whole whole ->
+            case DocumentUpdate.NoUpdate nothing -> {}
+            case DocumentUpdate.FullDocument whole ->
                 observe(whole.document().service(), whole.document().version());
-            case DocumentUpdate.Differences differences ->
+            case DocumentUpdate.Deltas differences ->
                 differences
                     .deltas()
                     .forEach(delta -> observe(delta.head().service(), delta.head().version()));
--- a/tool/src/main/java/org/hornbeamusher/bench/path/PathRig.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/path/PathRig.java
@@ -8,8 +8,8 @@
 import org.hornbeamusher.demo.Deployment;
 import org.hornbeamusher.demo.PartnerPlan;
 import org.hornbeamusher.entry.EntryDaemon;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
+import org.hornbeamusher.http.HttpRequest;
 import org.hornbeamusher.ids.AdapterName;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.load.LoadReport;
@@ -107,8 +107,8 @@
 
   private void load(AdapterRef adapter) {
     String order = "{\"adapter\":\"" + adapter + "\",\"fencing\":1}";
-    HttpCall call =
-        HttpCall.postJson(
+    HttpRequest call =
+        HttpRequest.postJson(
             engine.uri().resolve("/orders/load"), order.getBytes(StandardCharsets.UTF_8));
     client.send(call, ORDER_TIMEOUT_MILLIS).join();
   }
--- a/tool/src/main/java/org/hornbeamusher/bench/policy/EndpointChoice.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/policy/EndpointChoice.java
@@ -85,7 +85,7 @@
   }
 
   void progress(Attempt attempt, long busyMillis, int tokens, long now) {
-    router.progress(attempt.endpoint.id, busyMillis, tokens, now);
+    router.progressReported(attempt.endpoint.id, busyMillis, tokens, now);
   }
 
   void ended(Attempt attempt, AttemptResult result, long now) {
--- a/tool/src/main/java/org/hornbeamusher/bench/policy/FakeEndpoint.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/policy/FakeEndpoint.java
@@ -116,7 +116,7 @@
   }
 
   EndpointLoad load() {
-    return scheduler.load(events.now());
+    return scheduler.endpointLoad(events.now());
   }
 
   private void poll() {
@@ -125,7 +125,7 @@
         case AgentAction.Start start -> start(start);
         case AgentAction.Refuse refuse -> refuse(refuse.ticket(), refuse.type());
         case AgentAction.Load load -> beginLoad(load.adapter());
-        case AgentAction.AskPermit ask -> store.ask(this, ask.partner(), ask.demand());
+        case AgentAction.RequestPermit ask -> store.ask(this, ask.partner(), ask.demand());
       }
     }
     long due = scheduler.nextPollMillis(events.now());
--- a/tool/src/main/java/org/hornbeamusher/bench/policy/FakeEntry.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/policy/FakeEntry.java
@@ -176,7 +176,7 @@
   }
 
   private AttemptResult result(Attempt attempt) {
-    return new AttemptResult.Answered(
+    return new AttemptResult.Completed(
         attempt.firstTokenMillis - attempt.sentMillis,
         events.now() - attempt.sentMillis,
         attempt.stallMillis,
--- a/tool/src/main/java/org/hornbeamusher/bench/policy/FakeStore.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/policy/FakeStore.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.ids.PartnerId;
+import org.hornbeamusher.pacing.PermitAllocator;
 import org.hornbeamusher.pacing.PermitDecision;
-import org.hornbeamusher.pacing.PermitLedger;
 import org.hornbeamusher.pacing.PermitSettings;
 
 /**
@@ -19,7 +19,7 @@
   private static final long MESSAGE_MILLIS = 2;
 
   private final EventHeap events;
-  private final PermitLedger ledger;
+  private final PermitAllocator ledger;
   private final List<Transfer> transfers = new ArrayList<>();
   private final Map<EndpointId, FakeEndpoint> asking = new HashMap<>();
   private final Map<EndpointId, Long> grants = new HashMap<>();
@@ -29,12 +29,12 @@
 
   FakeStore(EventHeap events, Map<PartnerId, Integer> shares) {
     this.events = events;
-    this.ledger = new PermitLedger(PermitSettings.of(shares));
+    this.ledger = new PermitAllocator(PermitSettings.of(shares));
   }
 
   void ask(FakeEndpoint endpoint, PartnerId partner, double demand) {
     asking.put(endpoint.id, endpoint);
-    ledger.ask(endpoint.id, partner, demand, events.now());
+    ledger.request(endpoint.id, partner, demand, events.now());
     pollPermits();
   }
 
@@ -49,10 +49,10 @@
     while (true) {
       switch (ledger.poll(events.now())) {
         case PermitDecision.Grant grant -> {
-          grants.put(grant.agent(), grant.grant());
+          grants.put(grant.agent(), grant.grantId());
           events.after(MESSAGE_MILLIS, asking.get(grant.agent())::permitGranted);
         }
-        case PermitDecision.Hold hold -> {
+        case PermitDecision.Wait hold -> {
           holdUntil(hold.untilMillis());
           return;
         }
@@ -104,7 +104,7 @@
         one -> {
           Long grant = grants.remove(one.endpoint.id);
           if (grant != null) {
-            ledger.done(one.endpoint.id, grant);
+            ledger.release(one.endpoint.id, grant);
           }
           one.done.run();
         });
--- a/tool/src/main/java/org/hornbeamusher/bench/policy/Row.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/policy/Row.java
@@ -9,7 +9,7 @@
 import org.hornbeamusher.ids.PartnerId;
 import org.hornbeamusher.retry.RetrySettings;
 import org.hornbeamusher.routing.RoutingSettings;
-import org.hornbeamusher.scheduling.Mechanism;
+import org.hornbeamusher.scheduling.SchedulerFeature;
 import org.hornbeamusher.scheduling.SchedulerSettings;
 
 /**
@@ -79,7 +79,7 @@
         routing("spill", switched(all, true, false, true, true)),
         routing("own work", switched(all, true, true, false, true)),
         routing("ejection", switched(all, true, true, true, false)),
-        routing("zone preference", figures(all, 0, all.prefixMillis())),
+        routing("zone preference", figures(all, 0, all.prefixSavingMillis())),
         routing("prefix memory", figures(all, all.crossZoneMillis(), 0)));
   }
 
@@ -90,10 +90,10 @@
   private static RoutingSettings switched(
       RoutingSettings all, boolean residency, boolean spill, boolean ownWork, boolean ejection) {
     return new RoutingSettings(
-        all.candidates(),
+        all.candidateCount(),
         all.crossZoneMillis(),
         all.loadMillis(),
-        all.prefixMillis(),
+        all.prefixSavingMillis(),
         residency,
         spill,
         ownWork,
@@ -103,13 +103,20 @@
   private static RoutingSettings figures(
       RoutingSettings all, long crossZoneMillis, long prefixMillis) {
     return new RoutingSettings(
-        all.candidates(), crossZoneMillis, all.loadMillis(), prefixMillis, true, true, true, true);
+        all.candidateCount(),
+        crossZoneMillis,
+        all.loadMillis(),
+        prefixMillis,
+        true,
+        true,
+        true,
+        true);
   }
 
   private static List<Row> withoutScheduling() {
     List<Row> rows = new ArrayList<>();
     rows.add(scheduling("paced loads", Row::withoutPermits));
-    for (Mechanism mechanism : Mechanism.values()) {
+    for (SchedulerFeature mechanism : SchedulerFeature.values()) {
       String name = mechanism.name().toLowerCase(Locale.ROOT).replace('_', ' ') + " at the agent";
       rows.add(scheduling(name, settings -> settings.without(mechanism)));
     }
@@ -140,8 +147,8 @@
     return new AdmissionSettings(
         limit,
         AdmissionSettings.DEFAULT_OVERSHOOT,
-        AdmissionSettings.DEFAULT_LENT_PART,
-        AdmissionSettings.DEFAULT_MEMORY_MILLIS,
+        AdmissionSettings.DEFAULT_BORROWABLE_FRACTION,
+        AdmissionSettings.DEFAULT_IDLE_TIMEOUT_MILLIS,
         deadlines,
         shares,
         partnerShares);
--- a/tool/src/main/java/org/hornbeamusher/bench/policy/Tenant.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/policy/Tenant.java
@@ -1,6 +1,6 @@
 package org.hornbeamusher.bench.policy;
 
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
 import org.hornbeamusher.ids.PartnerId;
 import org.hornbeamusher.ids.PoolName;
 import org.hornbeamusher.ids.ServiceName;
@@ -19,21 +19,21 @@
     PartnerId partner,
     ServiceName service,
     PoolName ownPool,
-    Weights weights,
+    CostWeights weights,
     int meanTokens,
     long deadlineMillis) {
 
   /** Tolerant of seconds, weighs batch efficiency more. */
-  static final Tenant ZARQA = tenant("zarqa", "lm-dispatch", new Weights(1, 3), 320, 40_000);
+  static final Tenant ZARQA = tenant("zarqa", "lm-dispatch", new CostWeights(1, 3), 320, 40_000);
 
   /** Short answers, cannot wait, weighs load stalls more. */
-  static final Tenant TAWHITI = tenant("tawhiti", "valuer-llm", new Weights(3, 1), 150, 12_000);
+  static final Tenant TAWHITI = tenant("tawhiti", "valuer-llm", new CostWeights(3, 1), 150, 12_000);
 
   /** Where both run when they pool. */
   static final PoolName SHARED_POOL = new PoolName("shared");
 
   private static Tenant tenant(
-      String partner, String service, Weights weights, int tokens, long deadlineMillis) {
+      String partner, String service, CostWeights weights, int tokens, long deadlineMillis) {
     return new Tenant(
         new PartnerId(partner),
         new ServiceName(service),
--- a/tool/src/main/java/org/hornbeamusher/demo/Demo.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/Demo.java
@@ -113,7 +113,7 @@
       boolean ready =
           plans.stream()
               .flatMap(plan -> deployment.entries(plan).stream())
-              .allMatch(entry -> entry.routedEndpoints() == endpoints);
+              .allMatch(entry -> entry.routableEndpointCount() == endpoints);
       if (ready) {
         out.printf("demo: ready, every entry reaches %d endpoints%n", endpoints);
         return;
--- a/tool/src/main/java/org/hornbeamusher/demo/Deployment.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/Deployment.java
@@ -206,7 +206,7 @@
             agents.values().stream().map(AgentDaemon::services));
     return processes.allMatch(
         process ->
-            process.documents().held(service).filter(d -> d.version() >= version).isPresent());
+            process.documents().latest(service).filter(d -> d.version() >= version).isPresent());
   }
 
   /**
@@ -295,7 +295,7 @@
     service.start();
     EndpointId endpoint = new EndpointId(plan.plain() + "-" + number);
     plains.put(endpoint, service);
-    CapacitySettings capacity = CapacitySettings.of(EndpointKind.PLAIN);
+    CapacitySettings capacity = CapacitySettings.defaultsFor(EndpointKind.PLAIN);
     startAgent(plan.zone(number), endpoint, plan.plain(), service.uri(), capacity);
   }
 
@@ -320,7 +320,7 @@
 
   /** Tells the agent what the engine really does; slots and batch come from the document. */
   private CapacitySettings modelCapacity() {
-    CapacitySettings base = CapacitySettings.of(EndpointKind.MODEL);
+    CapacitySettings base = CapacitySettings.defaultsFor(EndpointKind.MODEL);
     return new CapacitySettings(
         EndpointKind.MODEL,
         engineSettings.enforceFencing(),
--- a/tool/src/main/java/org/hornbeamusher/demo/PartnerPlan.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/PartnerPlan.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.demo;
 
 import java.util.List;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
 import org.hornbeamusher.ids.AvailabilityZone;
 import org.hornbeamusher.ids.PartnerId;
 import org.hornbeamusher.ids.ServiceName;
@@ -28,7 +28,7 @@
     ServiceName model,
     int engines,
     int adapters,
-    Weights weights,
+    CostWeights weights,
     ServiceName plain,
     int plainInstances,
     String bookings) {
@@ -46,7 +46,7 @@
           new ServiceName("lm-dispatch"),
           ENGINES,
           ADAPTERS,
-          new Weights(1, 3),
+          new CostWeights(1, 3),
           new ServiceName("haul-api"),
           PLAIN_INSTANCES,
           "/bookings");
@@ -60,7 +60,7 @@
           new ServiceName("valuer-llm"),
           ENGINES,
           ADAPTERS,
-          new Weights(3, 1),
+          new CostWeights(3, 1),
           new ServiceName("tradedesk-app"),
           PLAIN_INSTANCES,
           "/deals");
--- a/tool/src/main/java/org/hornbeamusher/load/LoadRequest.java
+++ b/tool/src/main/java/org/hornbeamusher/load/LoadRequest.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
-import org.hornbeamusher.http.HttpCall;
+import org.hornbeamusher.http.HttpRequest;
 import org.hornbeamusher.ids.AdapterRef;
 
 /** One request of a workload: what is sent, and what its answer must be. */
@@ -14,7 +14,7 @@
   String onceKey();
 
   /** Returns the call that sends it to an entry. */
-  HttpCall call(URI entry, LoadSettings settings);
+  HttpRequest call(URI entry, LoadSettings settings);
 
   /** A completion. */
   record Completion(
@@ -22,7 +22,7 @@
       implements LoadRequest {
 
     @Override
-    public HttpCall call(URI entry, LoadSettings settings) {
+    public HttpRequest call(URI entry, LoadSettings settings) {
       String json =
           "{\"model\":\""
               + adapter
@@ -42,12 +42,12 @@
       implements LoadRequest {
 
     @Override
-    public HttpCall call(URI entry, LoadSettings settings) {
+    public HttpRequest call(URI entry, LoadSettings settings) {
       return post(entry.resolve("/services/" + service + path), body, onceKey, settings);
     }
   }
 
-  private static HttpCall post(URI uri, String body, String onceKey, LoadSettings settings) {
+  private static HttpRequest post(URI uri, String body, String onceKey, LoadSettings settings) {
     Map<String, String> headers = new HashMap<>();
     headers.put("Content-Type", "application/json");
     if (!settings.token().isEmpty()) {
@@ -60,6 +60,6 @@
       headers.put("X-Repeatable", "false");
       headers.put("Idempotency-Key", onceKey);
     }
-    return new HttpCall("POST", uri, headers, body.getBytes(StandardCharsets.UTF_8));
+    return new HttpRequest("POST", uri, headers, body.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/standin/PlatformStandin.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/PlatformStandin.java
@@ -172,7 +172,7 @@
       Replies.cut(exchange);
       return;
     }
-    boolean conflict = result instanceof PlatformJson.Result r && !r.committed();
+    boolean conflict = result instanceof PlatformJson.CommitResponse r && !r.committed();
     answer(exchange, conflict ? 409 : 200, result);
   }
 
@@ -215,9 +215,10 @@
   }
 
   private Object commit(byte[] body) {
-    Transaction transaction = PlatformJson.decode(body, PlatformJson.Commit.class).toTransaction();
+    Transaction transaction =
+        PlatformJson.decode(body, PlatformJson.CommitRequest.class).toTransaction();
     CommitResult result = rows.commit(transaction);
-    return PlatformJson.Result.of(result);
+    return PlatformJson.CommitResponse.of(result);
   }
 
   private Object object(HttpServerExchange exchange) {
--- a/tool/src/main/java/org/hornbeamusher/standin/StandinSettings.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/StandinSettings.java
@@ -93,7 +93,7 @@
             count(table, "reads_per_second", standard.readsPerSecond()),
             table.integer("list_lag_ms", 0, MAX_MILLIS, standard.listLagMillis()),
             instances);
-    top.finish(FailureType.SETTINGS_INVALID);
+    top.throwIfProblems(FailureType.SETTINGS_INVALID);
     return new StandinSettings(platform, stores, engines, plains);
   }
 
--- a/tool/src/main/java/org/hornbeamusher/tool/AgentCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/AgentCommand.java
@@ -37,6 +37,6 @@
     AgentDaemon daemon =
         new AgentDaemon(settings, DaemonRun.sockets(settings.peerTls()), SystemClock.INSTANCE);
     daemon.start();
-    return DaemonRun.untilStopped(daemon::awaitLeaving, daemon::stop);
+    return DaemonRun.untilStopped(daemon::awaitDrain, daemon::stop);
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/tool/CheckCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/CheckCommand.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import org.apache.commons.cli.CommandLine;
-import org.hornbeamusher.documents.DocumentReading;
+import org.hornbeamusher.documents.DocumentParseResult;
 import org.hornbeamusher.documents.ServiceDocumentReader;
 import org.hornbeamusher.settings.AgentSettings;
 import org.hornbeamusher.settings.EntrySettings;
@@ -43,8 +43,8 @@
   public int run(CommandLine line, Console console) {
     Path file = Path.of(line.getArgList().getFirst());
     TomlDocument document = TomlDocument.read(file);
-    if (document.fatal().isPresent()) {
-      console.err().println(document.fatal().get());
+    if (document.fatalProblem().isPresent()) {
+      console.err().println(document.fatalProblem().get());
       return ExitStatus.BAD_INPUT;
     }
     switch (document.root().path(ROLE).asText()) {
@@ -72,11 +72,11 @@
 
   private static int document(Path file, Console console) {
     return switch (ServiceDocumentReader.read(file.toString(), TextFiles.read(file))) {
-      case DocumentReading.Valid valid -> {
+      case DocumentParseResult.Valid valid -> {
         console.out().println(file + ": good document of " + valid.document().service());
         yield ExitStatus.OK;
       }
-      case DocumentReading.Invalid invalid -> {
+      case DocumentParseResult.Invalid invalid -> {
         invalid.problems().all().forEach(console.err()::println);
         yield ExitStatus.BAD_INPUT;
       }
--- a/tool/src/main/java/org/hornbeamusher/tool/CommandRunner.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/CommandRunner.java
@@ -8,7 +8,7 @@
 import org.apache.commons.cli.DefaultParser;
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
-import org.hornbeamusher.events.Logging;
+import org.hornbeamusher.events.LogSetup;
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.toml.Problem;
 import org.hornbeamusher.toml.Problems;
@@ -69,7 +69,7 @@
     if (!fits(line.getArgList().size(), arguments)) {
       return usage(command, "expected: " + Help.usage(command));
     }
-    Logging.toStandardError(Level.WARNING);
+    LogSetup.toStandardError(Level.WARNING);
     try {
       return command.run(line, console);
     } catch (HornbeamusherException e) {
--- a/tool/src/main/java/org/hornbeamusher/tool/DaemonRun.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/DaemonRun.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.logging.Level;
 import org.apache.commons.cli.CommandLine;
-import org.hornbeamusher.events.Logging;
+import org.hornbeamusher.events.LogSetup;
 import org.hornbeamusher.security.ReloadingTlsContext;
 import org.hornbeamusher.settings.TlsSettings;
 import org.hornbeamusher.wire.WireSockets;
@@ -32,7 +32,7 @@
   /** Sets up logging as the command line says. */
   static void log(CommandLine line) {
     String level = line.getOptionValue("events", "info").toUpperCase(Locale.ROOT);
-    Logging.toStandardError(Level.parse(level));
+    LogSetup.toStandardError(Level.parse(level));
   }
 
   /** Makes the sockets between processes; keys are read again while the process runs. */
@@ -42,7 +42,8 @@
     }
     TlsSettings files = tls.get();
     ReloadingTlsContext context =
-        ReloadingTlsContext.open(files.certificate(), files.key(), files.trusted());
+        ReloadingTlsContext.open(
+            files.certificateFile(), files.privateKeyFile(), files.trustedCertificates());
     context.start(TLS_RELOAD_MILLIS);
     return new WireSockets.MutualTls(context::context);
   }
--- a/tool/src/main/java/org/hornbeamusher/tool/OperatorClient.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/OperatorClient.java
@@ -13,9 +13,9 @@
 import org.apache.commons.cli.CommandLine;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
-import org.hornbeamusher.http.HttpReply;
+import org.hornbeamusher.http.HttpRequest;
+import org.hornbeamusher.http.HttpResponse;
 
 /** Calls the operators' interface of one process with an operator's token. */
 final class OperatorClient {
@@ -62,13 +62,13 @@
     HttpClient http = new HttpClient(1);
     http.start();
     try {
-      HttpCall call =
-          new HttpCall(
+      HttpRequest call =
+          new HttpRequest(
               method,
               base.resolve(pathAndQuery),
               Map.of("Authorization", "Bearer " + token),
               body.getBytes(StandardCharsets.UTF_8));
-      HttpReply reply = http.send(call, TIMEOUT_MILLIS).join();
+      HttpResponse reply = http.send(call, TIMEOUT_MILLIS).join();
       String text = new String(reply.body(), StandardCharsets.UTF_8);
       if (reply.status() >= FIRST_ERROR_STATUS) {
         throw refused(reply.status(), text, console);
--- a/tool/src/main/java/org/hornbeamusher/tool/SubmitCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/SubmitCommand.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import org.apache.commons.cli.CommandLine;
-import org.hornbeamusher.documents.DocumentReading;
+import org.hornbeamusher.documents.DocumentParseResult;
 import org.hornbeamusher.documents.ServiceDocumentReader;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
@@ -55,8 +55,8 @@
   /** A faulty text is refused here, with its lines, before any process is troubled. */
   private static String service(Path file, String text) {
     return switch (ServiceDocumentReader.read(file.toString(), text)) {
-      case DocumentReading.Valid valid -> valid.document().service().value();
-      case DocumentReading.Invalid invalid ->
+      case DocumentParseResult.Valid valid -> valid.document().service().value();
+      case DocumentParseResult.Invalid invalid ->
           throw HornbeamusherException.notRun(FailureType.DOCUMENT_INVALID, invalid.problems());
     };
   }
--- a/tool/src/main/java/org/hornbeamusher/tool/Tool.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/Tool.java
@@ -1,6 +1,6 @@
 package org.hornbeamusher.tool;
 
-import org.hornbeamusher.events.KeepingLogManager;
+import org.hornbeamusher.events.NonResettingLogManager;
 
 /** Entry point of the command line. */
 public final class Tool {
@@ -15,7 +15,7 @@
    */
   public static void main(String[] args) throws InterruptedException {
     // Before anything is logged: the JDK reads this once, when the first logger is made.
-    System.setProperty("java.util.logging.manager", KeepingLogManager.class.getName());
+    System.setProperty("java.util.logging.manager", NonResettingLogManager.class.getName());
     Console console = new Console(System.out, System.err);
     System.exit(new CommandRunner(console).run(args));
   }
--- a/tool/src/test/java/org/hornbeamusher/load/LoadRunnerTest.java
+++ b/tool/src/test/java/org/hornbeamusher/load/LoadRunnerTest.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.hornbeamusher.clock.SystemClock;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
+import org.hornbeamusher.http.HttpRequest;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.standin.EngineSettings;
 import org.hornbeamusher.standin.EngineStandin;
@@ -40,8 +40,8 @@
     engine.start();
     client.start();
     String order = "{\"adapter\":\"" + HOT + "\",\"fencing\":1}";
-    HttpCall call =
-        HttpCall.postJson(
+    HttpRequest call =
+        HttpRequest.postJson(
             engine.uri().resolve("/orders/load"), order.getBytes(StandardCharsets.UTF_8));
     assertEquals(200, client.send(call, 20_000).join().status());
   }
--- a/tool/src/test/java/org/hornbeamusher/path/AnswersTest.java
+++ b/tool/src/test/java/org/hornbeamusher/path/AnswersTest.java
@@ -15,8 +15,8 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import org.hornbeamusher.agent.AgentDaemon;
-import org.hornbeamusher.http.HttpCall;
-import org.hornbeamusher.http.HttpReply;
+import org.hornbeamusher.http.HttpRequest;
+import org.hornbeamusher.http.HttpResponse;
 import org.hornbeamusher.ids.AdapterRef;
 import org.junit.jupiter.api.AfterAll;
 import org.junit.jupiter.api.BeforeAll;
@@ -41,7 +41,7 @@
   @Test
   void wholeAnswersNameWhatRan() {
     AdapterRef adapter = PathFixture.adapter(1);
-    HttpReply reply = path.complete(0, adapter, "roster", TOKENS).join();
+    HttpResponse reply = path.complete(0, adapter, "roster", TOKENS).join();
 
     assertEquals(200, reply.status());
     assertEquals(PathFixture.expected(adapter, "roster", TOKENS), PathFixture.text(reply));
@@ -55,7 +55,7 @@
   @Test
   void modelsWithoutVersionAreTheCurrentOne() {
     String body = "{\"model\":\"lm-dispatch/a-2\",\"prompt\":\"p\",\"max_tokens\":4}";
-    HttpReply reply = path.post(0, "/v1/completions", body, Map.of()).join();
+    HttpResponse reply = path.post(0, "/v1/completions", body, Map.of()).join();
 
     assertEquals("lm-dispatch/a-2@1", reply.headers().get("x-adapter"));
     assertEquals(PathFixture.expected(PathFixture.adapter(2), "p", 4), PathFixture.text(reply));
@@ -65,7 +65,7 @@
   void streamedAnswersEndInTheirMark() {
     AdapterRef adapter = PathFixture.adapter(1);
     String body = PathFixture.completion(adapter, "roster", TOKENS, true);
-    HttpReply reply = path.post(0, "/v1/completions", body, Map.of()).join();
+    HttpResponse reply = path.post(0, "/v1/completions", body, Map.of()).join();
 
     assertEquals("text/event-stream", reply.headers().get("content-type"));
     String events = new String(reply.body(), StandardCharsets.UTF_8);
@@ -78,7 +78,7 @@
     String body =
         "{\"model\":\"lm-dispatch/a-1@1\",\"max_tokens\":4,"
             + "\"messages\":[{\"role\":\"user\",\"content\":\"where to unload\"}]}";
-    HttpReply reply = path.post(1, "/v1/chat/completions", body, Map.of()).join();
+    HttpResponse reply = path.post(1, "/v1/chat/completions", body, Map.of()).join();
 
     assertEquals(
         PathFixture.expected(PathFixture.adapter(1), "user: where to unload\nassistant:", 4),
@@ -135,15 +135,15 @@
   @Test
   void bodiesThatAreTooLongAreRefused() {
     String body = model("lm-dispatch/a-1@1").replace("p", "p".repeat(2_000_000));
-    HttpReply reply = path.post(0, "/v1/completions", body, Map.of()).join();
+    HttpResponse reply = path.post(0, "/v1/completions", body, Map.of()).join();
     assertEquals(413, reply.status());
   }
 
   @Test
   void modelsAreListedForTheirOwnPartner() {
-    HttpReply reply =
+    HttpResponse reply =
         path.send(
-                new HttpCall(
+                new HttpRequest(
                     "GET",
                     URI.create(path.entry(0).uri() + "/v1/models"),
                     Map.of(
@@ -164,7 +164,7 @@
   void garbageOnAnAgentsPortDisturbsNobody() throws IOException {
     Random random = new Random(4711);
     AdapterRef adapter = PathFixture.adapter(3);
-    CompletableFuture<HttpReply> answer = path.complete(0, adapter, "long", 200);
+    CompletableFuture<HttpResponse> answer = path.complete(0, adapter, "long", 200);
     for (AgentDaemon agent : path.deployment().agents().values()) {
       for (int i = 0; i < 20; i++) {
         sendGarbage(agent.address(), random);
@@ -192,7 +192,7 @@
 
   private static void check(
       int status, String type, String target, String body, Map<String, String> headers) {
-    HttpReply reply = path.post(0, target, body, headers).join();
+    HttpResponse reply = path.post(0, target, body, headers).join();
     assertEquals(type, PathFixture.errorType(reply), body);
     assertEquals(status, reply.status(), body);
     assertEquals("not-run", PathFixture.outcome(reply), body);
--- a/tool/src/test/java/org/hornbeamusher/path/FaultsTest.java
+++ b/tool/src/test/java/org/hornbeamusher/path/FaultsTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import org.hornbeamusher.agent.AgentDaemon;
-import org.hornbeamusher.http.HttpReply;
+import org.hornbeamusher.http.HttpResponse;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.standin.EngineStandin;
@@ -42,10 +42,10 @@
   @Test
   void requestsOfCrashedEnginesAreAnsweredElsewhere() {
     AdapterRef adapter = PathFixture.adapter(1);
-    HttpReply first = path.complete(0, adapter, "warm", 4).join();
+    HttpResponse first = path.complete(0, adapter, "warm", 4).join();
     EngineStandin engine = path.engineOf(first.headers().get("x-endpoint"));
 
-    CompletableFuture<HttpReply> answer = path.complete(0, adapter, "roster", LONG);
+    CompletableFuture<HttpResponse> answer = path.complete(0, adapter, "roster", LONG);
     awaitRunning(engine);
     engine.restart();
 
@@ -60,7 +60,7 @@
   @Test
   void cutStreamsAreVisible() {
     AdapterRef adapter = PathFixture.adapter(1);
-    HttpReply first = path.complete(0, adapter, "warm", 4).join();
+    HttpResponse first = path.complete(0, adapter, "warm", 4).join();
     EngineStandin engine = path.engineOf(first.headers().get("x-endpoint"));
 
     StreamedReply reply = new StreamedReply();
@@ -84,15 +84,15 @@
   void nonRepeatableRequestsSentTwiceRunOnce() {
     AdapterRef adapter = PathFixture.adapter(2);
     String key = PathFixture.key();
-    CompletableFuture<HttpReply> one =
+    CompletableFuture<HttpResponse> one =
         path.complete(0, adapter, "booking", 40, PathFixture.once(key));
-    CompletableFuture<HttpReply> two =
+    CompletableFuture<HttpResponse> two =
         path.complete(1, adapter, "booking", 40, PathFixture.once(key));
     List<Integer> statuses = new ArrayList<>(List.of(one.join().status(), two.join().status()));
 
     assertTrue(statuses.contains(200), statuses.toString());
     assertEquals(1, path.runsOfKey(key));
-    HttpReply again =
+    HttpResponse again =
         resentUntilEnded(() -> path.complete(1, adapter, "booking", 40, PathFixture.once(key)));
     assertEquals(PathFixture.expected(adapter, "booking", 40), PathFixture.text(again));
     assertEquals(1, path.runsOfKey(key));
@@ -105,19 +105,19 @@
   @Test
   void nonRepeatableRequestsAreNotRepeatedAfterCrashes() {
     AdapterRef adapter = PathFixture.adapter(1);
-    HttpReply first = path.complete(0, adapter, "warm", 4).join();
+    HttpResponse first = path.complete(0, adapter, "warm", 4).join();
     EngineStandin engine = path.engineOf(first.headers().get("x-endpoint"));
     String key = PathFixture.key();
 
-    CompletableFuture<HttpReply> answer =
+    CompletableFuture<HttpResponse> answer =
         path.complete(0, adapter, "booking", LONG, PathFixture.once(key));
     awaitRunning(engine);
     engine.restart();
 
-    HttpReply reply = answer.join();
+    HttpResponse reply = answer.join();
     assertNotEquals(200, reply.status());
     assertEquals("unknown", PathFixture.outcome(reply));
-    HttpReply again = path.complete(1, adapter, "booking", LONG, PathFixture.once(key)).join();
+    HttpResponse again = path.complete(1, adapter, "booking", LONG, PathFixture.once(key)).join();
     assertNotEquals(200, again.status());
     assertNotEquals("not-run", PathFixture.outcome(again));
     assertEquals(1, path.runsOfKey(key));
@@ -134,7 +134,7 @@
     String key = PathFixture.key();
 
     assertEquals(200, path.complete(0, adapter, "roster", 4).join().status());
-    HttpReply refused = path.complete(0, adapter, "booking", 4, PathFixture.once(key)).join();
+    HttpResponse refused = path.complete(0, adapter, "booking", 4, PathFixture.once(key)).join();
     assertEquals(503, refused.status());
     assertEquals("claim-unavailable", PathFixture.errorType(refused));
     assertEquals("not-run", PathFixture.outcome(refused));
@@ -157,7 +157,7 @@
     path.deployment().platform().faults(PlatformFaults.losing(1));
     String key = PathFixture.key();
 
-    HttpReply reply = path.complete(0, adapter, "booking", 4, PathFixture.once(key)).join();
+    HttpResponse reply = path.complete(0, adapter, "booking", 4, PathFixture.once(key)).join();
 
     assertEquals(200, reply.status());
     assertEquals(1, path.runsOfKey(key));
@@ -170,18 +170,18 @@
   @Test
   void drainingAgentsFinishTheirWorkAndGetNoneAnew() {
     AdapterRef adapter = PathFixture.adapter(1);
-    HttpReply first = path.complete(0, adapter, "warm", 4).join();
+    HttpResponse first = path.complete(0, adapter, "warm", 4).join();
     String endpoint = first.headers().get("x-endpoint");
     AgentDaemon agent = path.deployment().agents().get(new EndpointId(endpoint));
 
-    final CompletableFuture<HttpReply> answer = path.complete(0, adapter, "roster", LONG);
+    final CompletableFuture<HttpResponse> answer = path.complete(0, adapter, "roster", LONG);
     awaitRunning(path.engineOf(endpoint));
-    int before = path.entry(0).routedEndpoints();
+    int before = path.entry(0).routableEndpointCount();
     agent.drain();
-    PathFixture.await(() -> path.entry(0).routedEndpoints() == before - 1);
+    PathFixture.await(() -> path.entry(0).routableEndpointCount() == before - 1);
 
     for (int i = 0; i < 10; i++) {
-      HttpReply later = path.complete(0, adapter, "later " + i, 4).join();
+      HttpResponse later = path.complete(0, adapter, "later " + i, 4).join();
       assertEquals(200, later.status());
       assertNotEquals(endpoint, later.headers().get("x-endpoint"));
     }
@@ -192,8 +192,8 @@
   @Test
   void stoppingEntriesCutNothing() throws InterruptedException {
     AdapterRef adapter = PathFixture.adapter(1);
-    HttpReply first = path.complete(0, adapter, "warm", 4).join();
-    CompletableFuture<HttpReply> answer = path.complete(0, adapter, "roster", LONG);
+    HttpResponse first = path.complete(0, adapter, "warm", 4).join();
+    CompletableFuture<HttpResponse> answer = path.complete(0, adapter, "roster", LONG);
     awaitRunning(path.engineOf(first.headers().get("x-endpoint")));
 
     path.entry(0).stop();
@@ -213,7 +213,7 @@
 
     String last = "";
     for (int i = 0; i < 12; i++) {
-      HttpReply reply = path.complete(i % 2, adapter, crashing, 4).join();
+      HttpResponse reply = path.complete(i % 2, adapter, crashing, 4).join();
       assertNotEquals(200, reply.status());
       last = PathFixture.errorType(reply);
       PathFixture.pause(100);
@@ -230,17 +230,17 @@
    */
   @Test
   void agentsThatWereReplacedLeave() {
-    int before = path.entry(0).routedEndpoints();
+    int before = path.entry(0).routableEndpointCount();
     for (EngineStandin engine : path.deployment().engines().values()) {
       path.order(engine, "/orders/role", "{\"role\":\"both\",\"fencing\":1000}");
       break;
     }
 
     for (int i = 0; i < 8; i++) {
-      HttpReply reply = path.complete(0, PathFixture.adapter(i), "roster", 4).join();
+      HttpResponse reply = path.complete(0, PathFixture.adapter(i), "roster", 4).join();
       assertEquals(200, reply.status(), PathFixture.json(reply).toString());
     }
-    PathFixture.await(() -> path.entry(0).routedEndpoints() == before - 1);
+    PathFixture.await(() -> path.entry(0).routableEndpointCount() == before - 1);
   }
 
   /** Loads fail for a while; requests are answered or refused with a type, never lost. */
@@ -249,7 +249,7 @@
     path.deployment().engines().values().forEach(engine -> engine.failNextLoads(1));
     AdapterRef adapter = PathFixture.adapter(5);
 
-    HttpReply reply = path.complete(0, adapter, "roster", 4).join();
+    HttpResponse reply = path.complete(0, adapter, "roster", 4).join();
 
     if (reply.status() == 200) {
       assertEquals(PathFixture.expected(adapter, "roster", 4), PathFixture.text(reply));
@@ -283,7 +283,7 @@
       PathFixture.await(
           () -> documents.current(PathFixture.PLAN.model()).orElseThrow().version() == version);
     }
-    HttpReply reply =
+    HttpResponse reply =
         path.post(
                 0,
                 "/v1/completions",
@@ -297,7 +297,7 @@
   @Test
   void abandonedStreamsAreCancelledAtTheEngine() {
     AdapterRef adapter = PathFixture.adapter(1);
-    HttpReply first = path.complete(0, adapter, "warm", 4).join();
+    HttpResponse first = path.complete(0, adapter, "warm", 4).join();
     EngineStandin engine = path.engineOf(first.headers().get("x-endpoint"));
     StreamedReply reply = new StreamedReply();
     var stream =
@@ -313,9 +313,9 @@
     assertTrue(engine.counts().tokens() < 4_000, "ran on: " + engine.counts().tokens());
   }
 
-  private static HttpReply resentUntilEnded(
-      java.util.function.Supplier<CompletableFuture<HttpReply>> send) {
-    HttpReply reply = send.get().join();
+  private static HttpResponse resentUntilEnded(
+      java.util.function.Supplier<CompletableFuture<HttpResponse>> send) {
+    HttpResponse reply = send.get().join();
     for (int i = 0; i < 200 && PathFixture.errorType(reply).equals("claim-in-progress"); i++) {
       PathFixture.pause(20);
       reply = send.get().join();
--- a/tool/src/test/java/org/hornbeamusher/path/PathFixture.java
+++ b/tool/src/test/java/org/hornbeamusher/path/PathFixture.java
@@ -16,11 +16,11 @@
 import org.hornbeamusher.clock.SystemClock;
 import org.hornbeamusher.demo.Deployment;
 import org.hornbeamusher.demo.PartnerPlan;
-import org.hornbeamusher.documents.ServiceDocument.Weights;
+import org.hornbeamusher.documents.ServiceDocument.CostWeights;
 import org.hornbeamusher.entry.EntryDaemon;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
-import org.hornbeamusher.http.HttpReply;
+import org.hornbeamusher.http.HttpRequest;
+import org.hornbeamusher.http.HttpResponse;
 import org.hornbeamusher.ids.AdapterName;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.AvailabilityZone;
@@ -43,7 +43,7 @@
           new ServiceName("lm-dispatch"),
           2,
           40,
-          new Weights(1, 1),
+          new CostWeights(1, 1),
           new ServiceName("haul-api"),
           1,
           "/bookings");
@@ -92,7 +92,7 @@
 
   /** Waits until every endpoint takes work through an entry; nothing asserts how long it takes. */
   private void awaitReady(int entry) {
-    await(() -> entry(entry).routedEndpoints() == deployment.agents().size());
+    await(() -> entry(entry).routableEndpointCount() == deployment.agents().size());
   }
 
   static void await(BooleanSupplier condition) {
@@ -110,11 +110,12 @@
     }
   }
 
-  CompletableFuture<HttpReply> complete(int entry, AdapterRef adapter, String prompt, int tokens) {
+  CompletableFuture<HttpResponse> complete(
+      int entry, AdapterRef adapter, String prompt, int tokens) {
     return complete(entry, adapter, prompt, tokens, Map.of());
   }
 
-  CompletableFuture<HttpReply> complete(
+  CompletableFuture<HttpResponse> complete(
       int entry, AdapterRef adapter, String prompt, int tokens, Map<String, String> headers) {
     return post(entry, "/v1/completions", completion(adapter, prompt, tokens, false), headers);
   }
@@ -128,19 +129,19 @@
     return body.toString();
   }
 
-  CompletableFuture<HttpReply> post(
+  CompletableFuture<HttpResponse> post(
       int entry, String path, String body, Map<String, String> headers) {
     Map<String, String> all = new HashMap<>(headers);
     all.putIfAbsent("Authorization", "Bearer " + Deployment.callerToken(PLAN));
     return send(
-        new HttpCall(
+        new HttpRequest(
             "POST",
             URI.create(entry(entry).uri() + path),
             all,
             body.getBytes(StandardCharsets.UTF_8)));
   }
 
-  CompletableFuture<HttpReply> send(HttpCall call) {
+  CompletableFuture<HttpResponse> send(HttpRequest call) {
     return client.send(call, CALL_MILLIS);
   }
 
@@ -148,7 +149,7 @@
     return client;
   }
 
-  static JsonNode json(HttpReply reply) {
+  static JsonNode json(HttpResponse reply) {
     try {
       return JSON.readTree(reply.body());
     } catch (IOException e) {
@@ -156,15 +157,15 @@
     }
   }
 
-  static String text(HttpReply reply) {
+  static String text(HttpResponse reply) {
     return json(reply).path("choices").path(0).path("text").asText();
   }
 
-  static String errorType(HttpReply reply) {
+  static String errorType(HttpResponse reply) {
     return json(reply).path("error").path("type").asText();
   }
 
-  static String outcome(HttpReply reply) {
+  static String outcome(HttpResponse reply) {
     return json(reply).path("error").path("outcome").asText();
   }
 
@@ -188,14 +189,15 @@
   }
 
   int running(EngineStandin engine) {
-    HttpReply state = client.send(HttpCall.get(engine.uri().resolve("/state")), CALL_MILLIS).join();
+    HttpResponse state =
+        client.send(HttpRequest.get(engine.uri().resolve("/state")), CALL_MILLIS).join();
     return json(state).path("running").asInt();
   }
 
   void order(EngineStandin engine, String target, String json) {
     byte[] body = json.getBytes(StandardCharsets.UTF_8);
-    HttpReply reply =
-        client.send(HttpCall.postJson(engine.uri().resolve(target), body), CALL_MILLIS).join();
+    HttpResponse reply =
+        client.send(HttpRequest.postJson(engine.uri().resolve(target), body), CALL_MILLIS).join();
     org.junit.jupiter.api.Assertions.assertEquals(200, reply.status());
   }
 
--- a/tool/src/test/java/org/hornbeamusher/path/RefusedRepeatTest.java
+++ b/tool/src/test/java/org/hornbeamusher/path/RefusedRepeatTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.hornbeamusher.http.HttpReply;
+import org.hornbeamusher.http.HttpResponse;
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.standin.EngineStandin;
@@ -19,7 +19,7 @@
   void answerThatBrokeOffIsNotSaidToBeNotRunWhenTheRepeatIsRefused() throws Exception {
     try (PathFixture path = new PathFixture()) {
       AdapterRef adapter = PathFixture.adapter(1);
-      HttpReply first = path.complete(0, adapter, "warm", 4).join();
+      HttpResponse first = path.complete(0, adapter, "warm", 4).join();
       EndpointId left = new EndpointId(first.headers().get("x-endpoint"));
       path.deployment()
           .agents()
@@ -29,10 +29,10 @@
                   agent.drain();
                 }
               });
-      PathFixture.await(() -> path.entry(0).routedEndpoints() <= 1);
+      PathFixture.await(() -> path.entry(0).routableEndpointCount() <= 1);
       EngineStandin engine = path.engineOf(left.value());
       engine.cutNextAfter(3);
-      HttpReply reply = path.complete(0, adapter, "roster", 40).join();
+      HttpResponse reply = path.complete(0, adapter, "roster", 40).join();
       assertEquals("unknown", PathFixture.outcome(reply));
       assertEquals(502, reply.status());
     }
--- a/tool/src/test/java/org/hornbeamusher/path/StreamedReply.java
+++ b/tool/src/test/java/org/hornbeamusher/path/StreamedReply.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import org.hornbeamusher.demo.Deployment;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpHead;
+import org.hornbeamusher.http.HttpRequest;
 import org.hornbeamusher.http.HttpStreamListener;
 
 /** What a caller has received of a stream so far. */
@@ -16,8 +16,8 @@
   private boolean ended;
   private boolean cut;
 
-  static HttpCall call(URI entry, String body) {
-    return new HttpCall(
+  static HttpRequest call(URI entry, String body) {
+    return new HttpRequest(
         "POST",
         URI.create(entry + "/v1/completions"),
         Map.of(
--- a/tool/src/test/java/org/hornbeamusher/standin/EngineStandinTest.java
+++ b/tool/src/test/java/org/hornbeamusher/standin/EngineStandinTest.java
@@ -13,9 +13,9 @@
 import org.hornbeamusher.clock.SystemClock;
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
-import org.hornbeamusher.http.HttpReply;
+import org.hornbeamusher.http.HttpRequest;
+import org.hornbeamusher.http.HttpResponse;
 import org.hornbeamusher.ids.AdapterRef;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -119,7 +119,7 @@
   void frozenEngineAnswersOnlyWhenItWakes() {
     load();
     engine.freeze(true);
-    final CompletableFuture<HttpReply> answer = completion("draft", 3, false);
+    final CompletableFuture<HttpResponse> answer = completion("draft", 3, false);
     engine.counts();
     assertEquals(0, engine.counts().tokens());
     engine.freeze(false);
@@ -130,7 +130,7 @@
     assertEquals(200, order("load", 1).status());
   }
 
-  private HttpReply order(String name, long fencing) {
+  private HttpResponse order(String name, long fencing) {
     return post("/orders/" + name, "{\"adapter\":\"" + ADAPTER + "\",\"fencing\":" + fencing + "}");
   }
 
@@ -138,13 +138,13 @@
     return body(completion(prompt, tokens, stream).join());
   }
 
-  private CompletableFuture<HttpReply> completion(String prompt, int tokens, boolean stream) {
+  private CompletableFuture<HttpResponse> completion(String prompt, int tokens, boolean stream) {
     String json =
         String.format(
             "{\"model\":\"%s\",\"prompt\":\"%s\",\"max_tokens\":%d,\"stream\":%b}",
             ADAPTER, prompt, tokens, stream);
     return client.send(
-        new HttpCall(
+        new HttpRequest(
             "POST",
             engine.uri().resolve("/v1/completions"),
             Map.of("X-Request-Id", "r1"),
@@ -152,19 +152,19 @@
         TIMEOUT_MILLIS);
   }
 
-  private HttpReply post(String path, String json) {
+  private HttpResponse post(String path, String json) {
     return client
         .send(
-            HttpCall.postJson(engine.uri().resolve(path), json.getBytes(StandardCharsets.UTF_8)),
+            HttpRequest.postJson(engine.uri().resolve(path), json.getBytes(StandardCharsets.UTF_8)),
             TIMEOUT_MILLIS)
         .join();
   }
 
-  private HttpReply get(String path) {
-    return client.send(HttpCall.get(engine.uri().resolve(path)), TIMEOUT_MILLIS).join();
+  private HttpResponse get(String path) {
+    return client.send(HttpRequest.get(engine.uri().resolve(path)), TIMEOUT_MILLIS).join();
   }
 
-  private static String body(HttpReply reply) {
+  private static String body(HttpResponse reply) {
     return new String(reply.body(), StandardCharsets.UTF_8);
   }
 }
--- a/tool/src/test/java/org/hornbeamusher/standin/PlainServiceStandinTest.java
+++ b/tool/src/test/java/org/hornbeamusher/standin/PlainServiceStandinTest.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.concurrent.CompletionException;
-import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.http.HttpClient;
-import org.hornbeamusher.http.HttpReply;
+import org.hornbeamusher.http.HttpRequest;
+import org.hornbeamusher.http.HttpResponse;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -34,13 +34,13 @@
 
   @Test
   void echoesWhatItWasSent() {
-    HttpReply reply = book("k1");
+    HttpResponse reply = book("k1");
     assertEquals(201, reply.status());
     assertEquals(
         "{\"service\":\"haul-api\",\"method\":\"POST\",\"path\":\"/bookings\",\"key\":\"k1\","
             + "\"execution\":1,\"body\":\"load 7\"}",
         new String(reply.body(), StandardCharsets.UTF_8));
-    HttpCall get = HttpCall.get(service.uri().resolve("/loads/7"));
+    HttpRequest get = HttpRequest.get(service.uri().resolve("/loads/7"));
     assertEquals(200, client.send(get, TIMEOUT_MILLIS).join().status());
   }
 
@@ -72,10 +72,10 @@
     assertEquals(201, book("k2").status());
   }
 
-  private HttpReply book(String key) {
+  private HttpResponse book(String key) {
     return client
         .send(
-            new HttpCall(
+            new HttpRequest(
                 "POST",
                 service.uri().resolve("/bookings"),
                 Map.of("Idempotency-Key", key),
