--- a/runtime/src/main/java/org/hornbeamusher/claims/Claim.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/Claim.java
@@ -4,15 +4,15 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * The right to run one non-repeatable request, held by one entry.
+ * One entry's exclusive right to run a non-idempotent request.
  *
  * @param service the service
- * @param key the caller's key
- * @param token tells this claim from others of the same key
- * @param fingerprint hash of what the caller asked for
- * @param attempt counts the claims of this key, from 1
- * @param expiryMillis no dispatch may start after this; every dispatch carries it, so that a
- *     request which an entry sends late, after a pause, is dropped by the agent
+ * @param key the caller's idempotency key
+ * @param token unique id of this claim, to distinguish it from other claims of the same key
+ * @param fingerprint hash of the request
+ * @param attempt number of this claim among the claims of its key, starting at 1
+ * @param expiryMillis time after which no dispatch may start; every dispatch carries it, so that
+ *     the agent drops a request that the entry sends too late, for example after a pause
  */
 public record Claim(
     ServiceName service,
@@ -23,11 +23,11 @@
     long expiryMillis) {
 
   /**
-   * Tells whether the request may still be dispatched. An entry asks right before it sends; one
-   * that was paused past the expiry ends the claim as not run instead.
+   * Returns whether the request may still be dispatched. An entry checks this immediately before
+   * dispatch; if it was paused past the expiry, it finishes the claim as not run instead.
    *
-   * @param now milliseconds
-   * @return whether the expiry lies ahead
+   * @param now current time in milliseconds
+   * @return whether the claim has not expired
    */
   public boolean mayDispatch(long now) {
     return now < expiryMillis;
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimBatcher.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimBatcher.java
@@ -11,115 +11,120 @@
 import org.hornbeamusher.table.Transaction;
 
 /**
- * Groups conditional writes of single rows into transactions.
+ * Groups conditional single-row writes into transactions.
  *
- * <p>A write that finds no transaction on its way is committed at once. Those that arrive meanwhile
- * wait for its answer and then go together, at most {@link #MAXIMUM_BATCH}. So an idle entry pays
- * no delay, and a burst (a batch job of bookings at one entry) is bounded by round trips and not by
- * the table's writes a second. A fixed linger was rejected: 400 entries with few claims each would
- * wait and still have nothing to group.
+ * <p>At most one transaction is in flight. A write that arrives while there is none is committed at
+ * once. Writes that arrive meanwhile are queued until it completes and are then committed together,
+ * at most {@link #MAXIMUM_BATCH}. So there is no delay on an idle entry, and the throughput of a
+ * burst (for example a batch job of bookings at one entry) is limited by round trips rather than by
+ * the table's write rate. A fixed batching delay was rejected: 400 entries with few claims each
+ * would wait and still have nothing to group.
  *
- * <p>A transaction takes effect whole or not at all. When one row's condition fails, that write is
- * told so and the others are committed again; each round settles one, so it ends.
+ * <p>A transaction is atomic. When the condition of one row fails, the write of that row completes
+ * with the conflict and the others are committed again. Each such round completes at least one
+ * write, so the process terminates.
  */
 final class ClaimBatcher {
 
-  /** Writes in one transaction; keeps it far below a row limit of any table service. */
+  /** Maximum writes in one transaction; far below the row limit of any table service. */
   static final int MAXIMUM_BATCH = 64;
 
   /**
-   * Longest wait for one transaction. One connection to the table that went silent would otherwise
-   * hold back every later claim. What times out may have taken effect and is settled like that.
+   * Maximum wait for one transaction. Otherwise one unresponsive connection to the table would
+   * block every later claim. A write that times out may have taken effect and is treated like that.
    */
   private static final long TIMEOUT_MILLIS = 10_000;
 
   private final Table table;
-  private final ArrayDeque<Pending> waiting = new ArrayDeque<>();
-  private boolean busy;
+  private final ArrayDeque<PendingWrite> queue = new ArrayDeque<>();
+  private boolean inFlight;
 
   ClaimBatcher(Table table) {
     this.table = table;
   }
 
-  /** Commits one write, alone or with others; completes as {@link Table#commit} does. */
+  /** Commits one write, alone or in a batch; completes like {@link Table#commit}. */
   CompletableFuture<CommitResult> commit(Transaction.Condition condition, Transaction.Write write) {
-    Pending pending = new Pending(condition, write, new CompletableFuture<>());
+    PendingWrite pending = new PendingWrite(condition, write, new CompletableFuture<>());
     synchronized (this) {
-      waiting.add(pending);
+      queue.add(pending);
     }
-    next();
+    sendNext();
     return pending.result;
   }
 
-  private void next() {
-    List<Pending> batch;
+  private void sendNext() {
+    List<PendingWrite> batch;
     synchronized (this) {
-      if (busy || waiting.isEmpty()) {
+      if (inFlight || queue.isEmpty()) {
         return;
       }
-      busy = true;
-      batch = takeDistinct();
+      inFlight = true;
+      batch = takeBatch();
     }
     send(batch);
   }
 
-  /** Two writes of one row must not meet in a transaction: the second would not see the first. */
-  private List<Pending> takeDistinct() {
-    List<Pending> batch = new ArrayList<>();
+  /**
+   * Takes queued writes up to the first whose row is already in the batch: of two writes of one row
+   * in a transaction the second would not see the first.
+   */
+  private List<PendingWrite> takeBatch() {
+    List<PendingWrite> batch = new ArrayList<>();
     List<RowKey> keys = new ArrayList<>();
-    while (!waiting.isEmpty()
+    while (!queue.isEmpty()
         && batch.size() < MAXIMUM_BATCH
-        && !keys.contains(waiting.peek().write.key())) {
-      Pending pending = waiting.poll();
+        && !keys.contains(queue.peek().write.key())) {
+      PendingWrite pending = queue.poll();
       batch.add(pending);
       keys.add(pending.write.key());
     }
     return batch;
   }
 
-  private void send(List<Pending> batch) {
+  private void send(List<PendingWrite> batch) {
     Transaction transaction =
         new Transaction(
-            batch.stream().map(Pending::condition).toList(),
-            batch.stream().map(Pending::write).toList());
+            batch.stream().map(PendingWrite::condition).toList(),
+            batch.stream().map(PendingWrite::write).toList());
     table
         .commit(transaction)
         .orTimeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-        .whenComplete((result, thrown) -> answered(batch, result, thrown));
+        .whenComplete((result, thrown) -> onResult(batch, result, thrown));
   }
 
-  private void answered(List<Pending> batch, CommitResult result, Throwable thrown) {
+  private void onResult(List<PendingWrite> batch, CommitResult result, Throwable thrown) {
     switch (result) {
-      case CommitResult.Conflict conflict when batch.size() > 1 -> split(batch, conflict);
+      case CommitResult.Conflict conflict when batch.size() > 1 -> onConflict(batch, conflict);
       case null -> {
-        release();
+        clearInFlight();
         batch.forEach(pending -> pending.result.completeExceptionally(thrown));
       }
       default -> {
-        release();
+        clearInFlight();
         batch.forEach(pending -> pending.result.complete(result));
       }
     }
-    next();
+    sendNext();
   }
 
-  private void split(List<Pending> batch, CommitResult.Conflict conflict) {
-    List<Pending> failed =
+  private void onConflict(List<PendingWrite> batch, CommitResult.Conflict conflict) {
+    List<PendingWrite> failed =
         batch.stream().filter(pending -> pending.write.key().equals(conflict.key())).toList();
-    List<Pending> others = new ArrayList<>(batch);
-    others.removeAll(failed);
+    List<PendingWrite> remaining = new ArrayList<>(batch);
+    remaining.removeAll(failed);
     synchronized (this) {
-      others.reversed().forEach(waiting::addFirst);
+      remaining.reversed().forEach(queue::addFirst);
     }
-    release();
+    clearInFlight();
     failed.forEach(pending -> pending.result.complete(conflict));
   }
 
-  private synchronized void release() {
-    busy = false;
+  private synchronized void clearInFlight() {
+    inFlight = false;
   }
 
-  private record Pending(
+  private record PendingWrite(
       Transaction.Condition condition,
       Transaction.Write write,
       CompletableFuture<CommitResult> result) {}
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimCleaner.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimCleaner.java
@@ -15,46 +15,50 @@
 import org.hornbeamusher.table.Transaction;
 
 /**
- * Removes claim rows whose keys are refused everywhere, a bounded number a second.
+ * Deletes claim rows whose keys every entry refuses as expired, at a limited rate.
  *
- * <p>Rows are scanned oldest first. Removing one needs no condition: its key is older than the
- * retention by more than clocks may differ, so no entry can claim it any more. The interval grows
- * with the number of entries, so that all of them together remove at most {@link #ROWS_PER_SECOND}.
+ * <p>Rows are scanned oldest first. The delete needs no condition: the key is older than the
+ * retention by more than the maximum clock skew, so no entry can claim it any more. The interval
+ * grows with the number of entries, so that all of them together delete at most {@link
+ * #MAXIMUM_ROWS_PER_SECOND}.
  */
 public final class ClaimCleaner {
 
-  /** Rows that all entries together remove; more than are claimed ({@code docs/CLAIMS.md}). */
-  public static final int ROWS_PER_SECOND = 50;
+  /**
+   * Maximum rows that all entries together delete per second; above the rate at which rows are
+   * created (see {@code docs/CLAIMS.md}).
+   */
+  public static final int MAXIMUM_ROWS_PER_SECOND = 50;
 
-  /** Rows in one transaction. */
-  static final int BATCH = 100;
+  /** Maximum rows deleted in one transaction. */
+  static final int MAXIMUM_BATCH = 100;
 
   private final Table table;
   private final ClaimSettings settings;
   private final Clock clock;
-  private final IntSupplier entries;
+  private final IntSupplier entryCount;
   private final RandomGenerator random;
   private ScheduledExecutorService executor;
 
   /**
-   * Creates a stopped service.
+   * Creates a cleaner that is not started.
    *
    * @param table the platform's table
-   * @param settings how long claims matter
-   * @param clock the time
-   * @param entries how many entries clean, as far as this one knows
-   * @param random draws the jitter
+   * @param settings retention of claims
+   * @param clock the clock
+   * @param entryCount number of entries that run a cleaner, as known to this entry
+   * @param random source of the jitter
    */
   public ClaimCleaner(
       Table table,
       ClaimSettings settings,
       Clock clock,
-      IntSupplier entries,
+      IntSupplier entryCount,
       RandomGenerator random) {
     this.table = table;
     this.settings = settings;
     this.clock = clock;
-    this.entries = entries;
+    this.entryCount = entryCount;
     this.random = random;
   }
 
@@ -77,28 +81,28 @@
   }
 
   /**
-   * Removes the oldest rows that nobody needs, at most {@value #BATCH}.
+   * Deletes the oldest expired rows, at most {@value #MAXIMUM_BATCH}.
    *
-   * @return how many were removed; fails as the table does
+   * @return the number of deleted rows; fails when the table operation fails
    */
-  public CompletableFuture<Integer> clean() {
+  public CompletableFuture<Integer> deleteExpired() {
     long before = settings.removableBefore(clock.millis());
     return table
-        .scan(ClaimKey.TABLE, "", "", BATCH)
-        .thenApply(rows -> rows.stream().filter(row -> madeBefore(row, before)).toList())
-        .thenCompose(this::remove);
+        .scan(ClaimKey.TABLE, "", "", MAXIMUM_BATCH)
+        .thenApply(rows -> rows.stream().filter(row -> createdBefore(row, before)).toList())
+        .thenCompose(this::delete);
   }
 
   /**
-   * Returns the time between two cleanings of one entry.
+   * Returns the mean time between two runs of the cleaner on one entry.
    *
    * @return milliseconds
    */
   long intervalMillis() {
-    return Math.max(1, entries.getAsInt()) * 1_000L * BATCH / ROWS_PER_SECOND;
+    return Math.max(1, entryCount.getAsInt()) * 1_000L * MAXIMUM_BATCH / MAXIMUM_ROWS_PER_SECOND;
   }
 
-  private CompletableFuture<Integer> remove(List<Row> rows) {
+  private CompletableFuture<Integer> delete(List<Row> rows) {
     if (rows.isEmpty()) {
       return CompletableFuture.completedFuture(0);
     }
@@ -109,24 +113,25 @@
     return table.commit(new Transaction(List.of(), deletes)).thenApply(result -> rows.size());
   }
 
-  private static boolean madeBefore(Row row, long before) {
-    String key = row.key().key();
-    Optional<ClaimKey> made = ClaimKey.of(new IdempotencyKey(key.substring(0, key.indexOf('/'))));
-    return made.filter(claim -> claim.madeMillis() < before).isPresent();
+  private static boolean createdBefore(Row row, long before) {
+    String rowKey = row.key().key();
+    Optional<ClaimKey> parsed =
+        ClaimKey.of(new IdempotencyKey(rowKey.substring(0, rowKey.indexOf('/'))));
+    return parsed.filter(claimKey -> claimKey.createdMillis() < before).isPresent();
   }
 
   private void schedule() {
     long delay = Math.round(intervalMillis() * (0.5 + random.nextDouble()));
     executor.schedule(
         () ->
-            clean()
+            deleteExpired()
                 .orTimeout(intervalMillis(), TimeUnit.MILLISECONDS)
-                .whenComplete((removed, thrown) -> again()),
+                .whenComplete((removed, thrown) -> scheduleNext()),
         delay,
         TimeUnit.MILLISECONDS);
   }
 
-  private synchronized void again() {
+  private synchronized void scheduleNext() {
     if (executor != null) {
       schedule();
     }
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimDecision.java
@@ -6,27 +6,30 @@
 import org.hornbeamusher.table.Row;
 import org.hornbeamusher.table.Transaction.Condition;
 
-/** Decides what a claim or its end leads to, from the row as it was last seen. */
+/**
+ * Decides from the last known row what a claim, its outcome or its release has to write, if
+ * anything.
+ */
 sealed interface ClaimDecision {
 
-  /** Nothing is to be written. */
+  /** Nothing has to be written; the result is known. */
   record Done(ClaimResult result) implements ClaimDecision {}
 
-  /** The row becomes this one if the condition still holds. */
+  /** The row has to be replaced by this one, if the condition still holds. */
   record Write(Condition condition, ClaimRow row) implements ClaimDecision {}
 
   /**
    * Decides on a claim.
    *
-   * @param claim what the entry wants
-   * @param seen the row, as far as it is known
-   * @param settings how long claims matter
-   * @param now milliseconds
+   * @param claim the requested claim
+   * @param seen the last known row, or empty when none is known
+   * @param settings retention and grace period of claims
+   * @param now current time in milliseconds
    */
   static ClaimDecision claim(Claim claim, Optional<Row> seen, ClaimSettings settings, long now) {
     if (seen.isEmpty()) {
-      Condition absent = new Condition.Absent(claim.key().row(claim.service()));
-      return new Write(absent, claimed(claim, 1));
+      Condition absent = new Condition.Absent(claim.key().rowKey(claim.service()));
+      return new Write(absent, claimedRow(claim, 1));
     }
     ClaimRow row = ClaimRows.decode(seen.get());
     if (!row.fingerprint().equals(claim.fingerprint())) {
@@ -35,42 +38,44 @@
     }
     return switch (row.state()) {
       case ClaimRow.Claimed own when row.token().equals(claim.token()) ->
-          new Done(new ClaimResult.Won(won(claim, row.attempt())));
-      case ClaimRow.Claimed other -> new Done(held(other, settings, now));
+          new Done(new ClaimResult.Won(withAttempt(claim, row.attempt())));
+      case ClaimRow.Claimed other -> new Done(claimedByOther(other, settings, now));
       case ClaimRow.NotRun notRun ->
-          new Write(atRevision(seen.get()), claimed(claim, row.attempt() + 1));
+          new Write(atRevision(seen.get()), claimedRow(claim, row.attempt() + 1));
       case ClaimRow.Ran ran -> new Done(new ClaimResult.Ran(ran.answer()));
       case ClaimRow.Unknown unknown -> new Done(new ClaimResult.Unknown());
     };
   }
 
   /**
-   * Decides on the end of a claim.
+   * Decides how to record the outcome of a claim.
    *
    * @param claim the claim
-   * @param end its final state
-   * @param seen the row, as far as it is known
+   * @param state the state to record
+   * @param seen the last known row, or empty when none is known
    * @return what to write, or empty when there is nothing left to write
    */
-  static Optional<Write> finish(Claim claim, ClaimRow.State end, Optional<Row> seen) {
+  static Optional<Write> finish(Claim claim, ClaimRow.State state, Optional<Row> seen) {
     if (seen.isEmpty()) {
       return Optional.of(
           new Write(
-              new Condition.Absent(claim.key().row(claim.service())),
-              claimed(claim, claim.attempt()).with(end)));
+              new Condition.Absent(claim.key().rowKey(claim.service())),
+              claimedRow(claim, claim.attempt()).withState(state)));
     }
     ClaimRow row = ClaimRows.decode(seen.get());
     boolean open = row.token().equals(claim.token()) && row.state() instanceof ClaimRow.Claimed;
-    return open ? Optional.of(new Write(atRevision(seen.get()), row.with(end))) : Optional.empty();
+    return open
+        ? Optional.of(new Write(atRevision(seen.get()), row.withState(state)))
+        : Optional.empty();
   }
 
   /**
-   * Decides how to make sure that a claim which was not won never takes effect, so that the caller
-   * may send again. A write that is still on its way carries the condition of an absent row or of a
-   * revision; writing the row first makes that condition fail.
+   * Decides how to make sure that a claim which was not acquired never takes effect, so that the
+   * caller may retry. A write still in flight is conditional on an absent row or on a revision;
+   * writing the row first makes that condition fail.
    *
    * @param claim the claim
-   * @param seen the row, as far as it is known
+   * @param seen the last known row, or empty when none is known
    * @return what to write, or empty when the claim cannot take effect any more
    */
   static Optional<Write> release(Claim claim, Optional<Row> seen) {
@@ -88,7 +93,7 @@
     return finish(claim, new ClaimRow.NotRun(), seen);
   }
 
-  private static Claim won(Claim claim, int attempt) {
+  private static Claim withAttempt(Claim claim, int attempt) {
     return new Claim(
         claim.service(),
         claim.key(),
@@ -98,12 +103,13 @@
         claim.expiryMillis());
   }
 
-  private static ClaimResult held(ClaimRow.Claimed claimed, ClaimSettings settings, long now) {
+  private static ClaimResult claimedByOther(
+      ClaimRow.Claimed claimed, ClaimSettings settings, long now) {
     long remaining = claimed.expiryMillis() + settings.graceMillis() - now;
     return remaining > 0 ? new ClaimResult.InProgress(remaining) : new ClaimResult.Unknown();
   }
 
-  private static ClaimRow claimed(Claim claim, int attempt) {
+  private static ClaimRow claimedRow(Claim claim, int attempt) {
     ClaimRow.State state = new ClaimRow.Claimed(claim.expiryMillis());
     return new ClaimRow(claim.fingerprint(), attempt, claim.token(), state);
   }
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimKeeper.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimKeeper.java
@@ -24,36 +24,39 @@
 import org.hornbeamusher.table.Transaction;
 
 /**
- * Claims non-repeatable requests in the platform's table, so that each runs at most once.
+ * Claims non-idempotent requests in the platform's table, so that each runs at most once.
  *
- * <p>Before the first byte of such a request leaves an entry, the entry inserts a row for (service,
- * key) on the condition that there is none. Of all entries that try, whenever they try, one
- * commits; it alone dispatches, once. Everybody else reads the row and tells the caller what it
- * says.
+ * <p>Before an entry sends the first byte of such a request, it inserts a row for (service, key) on
+ * the condition that there is none. However many entries try, and at whatever time, only one insert
+ * commits; only that entry dispatches the request, once. All others read the row and answer the
+ * caller accordingly.
  *
- * <p>Three answers of the table decide:
+ * <p>There are three results of the insert:
  *
  * <ul>
- *   <li>Committed: this entry won.
- *   <li>Conflict: the row that is there decides ({@link ClaimDecision}).
- *   <li>Answer lost: the insert may have taken effect. The row is read back; it shows the own
- *       token, somebody else's, or nothing, and in that case the same insert is sent again. Two
- *       inserts on their way at once are harmless, because both want the row absent and carry one
- *       token.
+ *   <li>Committed: this entry acquired the claim.
+ *   <li>Conflict: the existing row decides ({@link ClaimDecision}).
+ *   <li>Response lost: the insert may have taken effect. The row is read back. It holds this
+ *       claim's token or another claim's, or it is absent; in that case the same insert is sent
+ *       again. Two such inserts in flight at once are harmless, because both require the row to be
+ *       absent and carry the same token.
  * </ul>
  *
- * <p>When the table does not answer, the request is refused as not run: nothing was dispatched and,
- * from here, nothing will be. But the insert may still take effect later, and the row would then
- * bar the caller's next send. So the claim is released in the background, by a row that says not
- * run: where there is no row yet, writing it makes the late insert fail.
+ * <p>When the table does not respond, the request is refused as not run: this entry has dispatched
+ * nothing and will not. But the insert may still take effect later, and its row would then block
+ * the caller's retry. So the claim is released in the background by writing a row in state not run:
+ * where there is no row yet, this makes the late insert fail.
  */
 public final class ClaimKeeper {
 
-  /** Rounds of one claim or one end before it is given up for now. */
-  private static final int MAXIMUM_ROUNDS = 4;
+  /** Maximum commit attempts for one claim or outcome before giving up for now. */
+  private static final int MAXIMUM_COMMIT_ATTEMPTS = 4;
 
-  /** Ends that wait for the table; beyond it the oldest is dropped and reads as unknown. */
-  private static final int MAXIMUM_UNWRITTEN = 10_000;
+  /**
+   * Maximum outcomes queued while the table is unavailable; beyond it the oldest is dropped and its
+   * claim reads as unknown.
+   */
+  private static final int MAXIMUM_PENDING_OUTCOMES = 10_000;
 
   private static final long RETRY_MILLIS = 1_000;
   private static final String KEY_HEADER = "Idempotency-Key";
@@ -63,16 +66,17 @@
   private final ClaimSettings settings;
   private final Clock clock;
   private final Supplier<ClaimToken> tokens;
-  private final ArrayDeque<Unwritten> unwritten = new ArrayDeque<>();
+  private final ArrayDeque<PendingOutcome> pendingOutcomes = new ArrayDeque<>();
   private ScheduledExecutorService executor;
 
   /**
-   * Creates a stopped service; claims work all the same, only ends that could not be written wait.
+   * Creates an instance without the background thread. Claims work before {@link #start}; only
+   * outcomes whose write failed remain queued until then.
    *
    * @param table the platform's table
-   * @param settings how long claims matter
-   * @param clock the time
-   * @param tokens makes a token that no other claim has
+   * @param settings retention and grace period of claims
+   * @param clock the clock
+   * @param tokens generates a unique token for each claim
    */
   public ClaimKeeper(
       Table table, ClaimSettings settings, Clock clock, Supplier<ClaimToken> tokens) {
@@ -83,7 +87,7 @@
     this.tokens = tokens;
   }
 
-  /** Starts writing ends again that could not be written. */
+  /** Starts the background thread that retries failed outcome writes. */
   public synchronized void start() {
     if (executor == null) {
       executor =
@@ -94,7 +98,10 @@
     }
   }
 
-  /** Stops. Ends that could not be written are lost; their claims read as unknown. */
+  /**
+   * Stops the background thread. Outcomes that are still queued are lost; their claims read as
+   * unknown.
+   */
   public synchronized void stop() {
     if (executor != null) {
       executor.shutdownNow();
@@ -106,150 +113,164 @@
    * Claims a request.
    *
    * @param service the service
-   * @param key the caller's key
-   * @param fingerprint hash of what the caller asks for, without what may differ between sends
-   * @param expiryMillis the request's deadline: nothing is dispatched after it
-   * @return never fails; a table that does not answer is {@link ClaimResult.Refused}
+   * @param key the caller's idempotency key
+   * @param fingerprint hash of the request, without the parts that may differ between retries
+   * @param expiryMillis the request's deadline; nothing is dispatched after it
+   * @return never fails; {@link ClaimResult.Refused} when the table does not respond
    */
   public CompletableFuture<ClaimResult> claim(
       ServiceName service, IdempotencyKey key, String fingerprint, long expiryMillis) {
-    Optional<ClaimKey> timed = ClaimKey.of(key);
-    if (timed.isEmpty()) {
+    Optional<ClaimKey> parsedKey = ClaimKey.of(key);
+    if (parsedKey.isEmpty()) {
       return refused(
           HornbeamusherException.notRun(
               FailureType.INVALID_HEADER, KEY_HEADER, "it must be a UUID of version 7"));
     }
-    if (settings.fromTheFuture(timed.get(), clock.millis())) {
+    if (settings.isFromFuture(parsedKey.get(), clock.millis())) {
       return refused(
           HornbeamusherException.notRun(
               FailureType.INVALID_HEADER, KEY_HEADER, "its time lies in the future"));
     }
-    if (settings.expired(timed.get(), clock.millis())) {
+    if (settings.isExpired(parsedKey.get(), clock.millis())) {
       return refused(
           HornbeamusherException.of(
               FailureType.CLAIM_KEY_EXPIRED, Outcome.UNKNOWN, settings.retentionMillis()));
     }
-    Claim claim = new Claim(service, timed.get(), tokens.get(), fingerprint, 1, expiryMillis);
-    return untilExpiry(
-        claim, round(claim, Optional.empty(), 1, false).exceptionally(ClaimKeeper::unreadable));
+    Claim claim = new Claim(service, parsedKey.get(), tokens.get(), fingerprint, 1, expiryMillis);
+    return completeByExpiry(
+        claim,
+        tryClaim(claim, Optional.empty(), 1, false).exceptionally(ClaimKeeper::refusedAsUnknown));
   }
 
   /**
-   * Ends a claim. Called once for every claim won, also when nothing was dispatched.
+   * Records the outcome of a claim. Must be called once for every acquired claim, also when nothing
+   * was dispatched.
    *
    * @param claim the claim
-   * @param outcome {@link Outcome.NotRun} only where it is proven
-   * @param answer the whole answer of a request that ran; kept if it is short
-   * @return whether the end is in the table; when it is not, it is tried again in the background
+   * @param outcome the outcome; {@link Outcome.NotRun} only where this is proven
+   * @param answer the complete response of a request that ran; stored if it is short enough
+   * @return whether the outcome is in the table; if not, the write is retried in the background
    */
   public CompletableFuture<Boolean> finish(
       Claim claim, Outcome outcome, Optional<StoredAnswer> answer) {
-    ClaimRow.State end =
+    ClaimRow.State state =
         switch (outcome) {
           case Outcome.NotRun notRun -> new ClaimRow.NotRun();
-          case Outcome.Ran ran -> new ClaimRow.Ran(answer.filter(ClaimKeeper::isShort));
+          case Outcome.Ran ran -> new ClaimRow.Ran(answer.filter(ClaimKeeper::isStorable));
           case Outcome.Unknown unknown -> new ClaimRow.Unknown();
         };
-    return write(new Unwritten(claim, end, false));
+    return write(new PendingOutcome(claim, state, false));
   }
 
-  /** Tries again every end that could not be written; called once a second. */
+  /** Retries every failed outcome write; called once a second. */
   public void writeAgain() {
-    List<Unwritten> ends;
+    List<PendingOutcome> outcomes;
     synchronized (this) {
-      ends = new ArrayList<>(unwritten);
-      unwritten.clear();
+      outcomes = new ArrayList<>(pendingOutcomes);
+      pendingOutcomes.clear();
     }
-    ends.forEach(this::write);
+    outcomes.forEach(this::write);
   }
 
   /**
-   * Returns how many ends wait for the table.
+   * Returns how many outcomes are queued for another write.
    *
-   * @return for metrics
+   * @return the number of queued outcomes
    */
-  public synchronized int unwritten() {
-    return unwritten.size();
+  public synchronized int pendingOutcomeCount() {
+    return pendingOutcomes.size();
   }
 
-  private CompletableFuture<ClaimResult> round(
-      Claim claim, Optional<Row> seen, int number, boolean lost) {
+  private CompletableFuture<ClaimResult> tryClaim(
+      Claim claim, Optional<Row> seen, int commitAttempt, boolean mayTakeEffect) {
     return switch (decide(claim, seen)) {
       case ClaimDecision.Done done -> CompletableFuture.completedFuture(done.result());
       case ClaimDecision.Write write ->
           put(claim, write)
-              .handle((result, thrown) -> Step.of(result, thrown))
-              .thenCompose(step -> afterCommit(step, claim, write, number, lost));
+              .handle((result, thrown) -> CommitStep.of(result, thrown))
+              .thenCompose(
+                  step -> afterClaimCommit(step, claim, write, commitAttempt, mayTakeEffect));
     };
   }
 
   /**
-   * Answers by the expiry at the latest. A slow table would otherwise keep the caller waiting past
-   * its deadline. A claim that is won after that is ended as not run: nothing was dispatched, and
-   * the caller has been told so.
+   * Completes at the claim's expiry at the latest; otherwise a slow table would keep the caller
+   * waiting past its deadline. A claim that is acquired after that is finished as not run: nothing
+   * was dispatched, and the caller has already been told so.
    */
-  private CompletableFuture<ClaimResult> untilExpiry(
+  private CompletableFuture<ClaimResult> completeByExpiry(
       Claim claim, CompletableFuture<ClaimResult> result) {
-    CompletableFuture<ClaimResult> answer = new CompletableFuture<>();
+    CompletableFuture<ClaimResult> response = new CompletableFuture<>();
     result.thenAccept(
         decided -> {
-          boolean late = !answer.complete(decided);
+          boolean late = !response.complete(decided);
           if (late && decided instanceof ClaimResult.Won won) {
             finish(won.claim(), Outcome.NOT_RUN, Optional.empty());
           }
         });
-    ClaimResult tooLate =
+    ClaimResult expired =
         new ClaimResult.Refused(
             HornbeamusherException.notRun(FailureType.CLAIM_UNAVAILABLE).retryAfter(RETRY_MILLIS));
     long remaining = Math.max(0, claim.expiryMillis() - clock.millis());
-    return answer.completeOnTimeout(tooLate, remaining, TimeUnit.MILLISECONDS);
+    return response.completeOnTimeout(expired, remaining, TimeUnit.MILLISECONDS);
   }
 
   private ClaimDecision decide(Claim claim, Optional<Row> seen) {
     return ClaimDecision.claim(claim, seen, settings, clock.millis());
   }
 
-  private CompletableFuture<ClaimResult> afterCommit(
-      Step step, Claim claim, ClaimDecision.Write write, int number, boolean lost) {
-    boolean last = number == MAXIMUM_ROUNDS;
+  private CompletableFuture<ClaimResult> afterClaimCommit(
+      CommitStep step,
+      Claim claim,
+      ClaimDecision.Write write,
+      int commitAttempt,
+      boolean mayTakeEffect) {
+    boolean last = commitAttempt == MAXIMUM_COMMIT_ATTEMPTS;
     return switch (step) {
-      case Step.Committed committed ->
-          CompletableFuture.completedFuture(new ClaimResult.Won(attempt(claim, write)));
-      case Step.Conflict conflict when !last -> round(claim, conflict.current(), number + 1, lost);
-      case Step.Lost again when !last -> readBack(claim, number);
-      case Step.Conflict conflict -> unavailable(claim, lost);
-      case Step.Lost again -> unavailable(claim, true);
-      case Step.Failed failed -> unavailable(claim, lost);
+      case CommitStep.Committed committed ->
+          CompletableFuture.completedFuture(new ClaimResult.Won(withAttempt(claim, write)));
+      case CommitStep.Conflict conflict when !last ->
+          tryClaim(claim, conflict.current(), commitAttempt + 1, mayTakeEffect);
+      case CommitStep.ResponseLost responseLost when !last -> readBack(claim, commitAttempt);
+      case CommitStep.Conflict conflict -> unavailable(claim, mayTakeEffect);
+      case CommitStep.ResponseLost responseLost -> unavailable(claim, true);
+      case CommitStep.Rejected rejected -> unavailable(claim, mayTakeEffect);
     };
   }
 
-  private CompletableFuture<ClaimResult> readBack(Claim claim, int number) {
+  private CompletableFuture<ClaimResult> readBack(Claim claim, int commitAttempt) {
     return table
-        .read(claim.key().row(claim.service()))
+        .read(claim.key().rowKey(claim.service()))
         .handle(
             (row, thrown) ->
-                thrown == null ? round(claim, row, number + 1, true) : unavailable(claim, true))
+                thrown == null
+                    ? tryClaim(claim, row, commitAttempt + 1, true)
+                    : unavailable(claim, true))
         .thenCompose(result -> result);
   }
 
-  /** The request is refused; an insert that may still take effect must not bar the next send. */
-  private CompletableFuture<ClaimResult> unavailable(Claim claim, boolean lost) {
-    if (lost) {
-      write(new Unwritten(claim, new ClaimRow.NotRun(), true));
+  /**
+   * Refuses the request as not run. An insert that may still take effect is released, because it
+   * would block the caller's retry.
+   */
+  private CompletableFuture<ClaimResult> unavailable(Claim claim, boolean mayTakeEffect) {
+    if (mayTakeEffect) {
+      write(new PendingOutcome(claim, new ClaimRow.NotRun(), true));
     }
     return refused(
         HornbeamusherException.notRun(FailureType.CLAIM_UNAVAILABLE).retryAfter(RETRY_MILLIS));
   }
 
-  private CompletableFuture<Boolean> write(Unwritten end) {
-    boolean inserted = !end.release && end.claim.attempt() == 1;
-    Optional<Row> assumed = inserted ? Optional.of(firstRow(end.claim)) : Optional.empty();
-    return finishRound(end, assumed, 1);
+  private CompletableFuture<Boolean> write(PendingOutcome pending) {
+    boolean acquiredByInsert = !pending.release && pending.claim.attempt() == 1;
+    Optional<Row> assumed =
+        acquiredByInsert ? Optional.of(firstRow(pending.claim)) : Optional.empty();
+    return tryFinish(pending, assumed, 1);
   }
 
   /**
-   * What the insert of a first claim left behind; saves reading the row back. Only for a claim that
-   * was won: revision 1 of a claim that was not may be another entry's.
+   * Returns the row that the insert of a first claim wrote, which saves reading it back. Valid only
+   * for an acquired claim: otherwise revision 1 may have been written by another entry.
    */
   private static Row firstRow(Claim claim) {
     ClaimRow row =
@@ -258,51 +279,54 @@
             claim.attempt(),
             claim.token(),
             new ClaimRow.Claimed(claim.expiryMillis()));
-    return new Row(claim.key().row(claim.service()), 1, ClaimRows.encode(row));
+    return new Row(claim.key().rowKey(claim.service()), 1, ClaimRows.encode(row));
   }
 
-  private CompletableFuture<Boolean> finishRound(Unwritten end, Optional<Row> seen, int number) {
+  private CompletableFuture<Boolean> tryFinish(
+      PendingOutcome pending, Optional<Row> seen, int commitAttempt) {
     Optional<ClaimDecision.Write> write =
-        end.release
-            ? ClaimDecision.release(end.claim, seen)
-            : ClaimDecision.finish(end.claim, end.state, seen);
+        pending.release
+            ? ClaimDecision.release(pending.claim, seen)
+            : ClaimDecision.finish(pending.claim, pending.state, seen);
     if (write.isEmpty()) {
       return CompletableFuture.completedFuture(true);
     }
-    return put(end.claim, write.get())
-        .handle((result, thrown) -> Step.of(result, thrown))
-        .thenCompose(step -> afterFinish(step, end, seen, number));
+    return put(pending.claim, write.get())
+        .handle((result, thrown) -> CommitStep.of(result, thrown))
+        .thenCompose(step -> afterFinishCommit(step, pending, seen, commitAttempt));
   }
 
-  private CompletableFuture<Boolean> afterFinish(
-      Step step, Unwritten end, Optional<Row> seen, int number) {
-    boolean last = number == MAXIMUM_ROUNDS;
+  private CompletableFuture<Boolean> afterFinishCommit(
+      CommitStep step, PendingOutcome pending, Optional<Row> seen, int commitAttempt) {
+    boolean last = commitAttempt == MAXIMUM_COMMIT_ATTEMPTS;
     return switch (step) {
-      case Step.Committed committed -> CompletableFuture.completedFuture(true);
-      case Step.Conflict conflict when !last -> finishRound(end, conflict.current(), number + 1);
-      case Step.Lost again when !last -> finishRound(end, seen, number + 1);
-      case Step.Conflict conflict -> later(end);
-      case Step.Lost again -> later(end);
-      case Step.Failed failed -> later(end);
+      case CommitStep.Committed committed -> CompletableFuture.completedFuture(true);
+      case CommitStep.Conflict conflict when !last ->
+          tryFinish(pending, conflict.current(), commitAttempt + 1);
+      case CommitStep.ResponseLost responseLost when !last ->
+          tryFinish(pending, seen, commitAttempt + 1);
+      case CommitStep.Conflict conflict -> enqueue(pending);
+      case CommitStep.ResponseLost responseLost -> enqueue(pending);
+      case CommitStep.Rejected rejected -> enqueue(pending);
     };
   }
 
-  private synchronized CompletableFuture<Boolean> later(Unwritten end) {
-    if (unwritten.size() == MAXIMUM_UNWRITTEN) {
-      Unwritten dropped = unwritten.poll();
+  private synchronized CompletableFuture<Boolean> enqueue(PendingOutcome pending) {
+    if (pendingOutcomes.size() == MAXIMUM_PENDING_OUTCOMES) {
+      PendingOutcome dropped = pendingOutcomes.poll();
       EventLog.log(EventType.CLAIM_END_LOST, "service", dropped.claim.service());
     }
-    unwritten.add(end);
+    pendingOutcomes.add(pending);
     return CompletableFuture.completedFuture(false);
   }
 
   private CompletableFuture<CommitResult> put(Claim claim, ClaimDecision.Write write) {
     byte[] value = ClaimRows.encode(write.row());
-    Transaction.Write put = new Transaction.Write.Put(claim.key().row(claim.service()), value);
+    Transaction.Write put = new Transaction.Write.Put(claim.key().rowKey(claim.service()), value);
     return batcher.commit(write.condition(), put);
   }
 
-  private static Claim attempt(Claim claim, ClaimDecision.Write write) {
+  private static Claim withAttempt(Claim claim, ClaimDecision.Write write) {
     return new Claim(
         claim.service(),
         claim.key(),
@@ -312,13 +336,13 @@
         claim.expiryMillis());
   }
 
-  private static ClaimResult unreadable(Throwable thrown) {
+  private static ClaimResult refusedAsUnknown(Throwable thrown) {
     return new ClaimResult.Refused(
         HornbeamusherException.of(FailureType.CLAIM_UNAVAILABLE, Outcome.UNKNOWN)
             .causedBy(HornbeamusherException.from(thrown)));
   }
 
-  private static boolean isShort(StoredAnswer answer) {
+  private static boolean isStorable(StoredAnswer answer) {
     return answer.body().length <= StoredAnswer.MAXIMUM_LENGTH;
   }
 
@@ -326,30 +350,39 @@
     return CompletableFuture.completedFuture(new ClaimResult.Refused(reason));
   }
 
-  /** An end; a release is the end of a claim that may not be in the table, or not yet. */
-  private record Unwritten(Claim claim, ClaimRow.State state, boolean release) {}
+  /**
+   * An outcome to be written.
+   *
+   * @param claim the claim
+   * @param state the state to record
+   * @param release whether the claim was not acquired and its row may be absent, or not written yet
+   */
+  private record PendingOutcome(Claim claim, ClaimRow.State state, boolean release) {}
 
-  /** How one commit ended. */
-  private sealed interface Step {
+  /** The result of one commit. */
+  private sealed interface CommitStep {
 
-    record Committed() implements Step {}
+    record Committed() implements CommitStep {}
 
-    record Conflict(Optional<Row> current) implements Step {}
+    record Conflict(Optional<Row> current) implements CommitStep {}
 
-    /** The write may have taken effect. */
-    record Lost() implements Step {}
+    /** The response was lost; the write may have taken effect. */
+    record ResponseLost() implements CommitStep {}
 
-    /** The table did not take the write. Every other failure may hide one that took effect. */
-    record Failed() implements Step {}
+    /**
+     * The table rejected the write, so it had no effect. Every other failure may hide a write that
+     * took effect.
+     */
+    record Rejected() implements CommitStep {}
 
-    static Step of(CommitResult result, Throwable thrown) {
+    static CommitStep of(CommitResult result, Throwable thrown) {
       return switch (result) {
         case CommitResult.Committed committed -> new Committed();
         case CommitResult.Conflict conflict -> new Conflict(conflict.current());
         case null ->
             switch (HornbeamusherException.from(thrown).type()) {
-              case PLATFORM_UNAVAILABLE, PLATFORM_THROTTLED -> new Failed();
-              default -> new Lost();
+              case PLATFORM_UNAVAILABLE, PLATFORM_THROTTLED -> new Rejected();
+              default -> new ResponseLost();
             };
       };
     }
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimResult.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimResult.java
@@ -5,13 +5,13 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.failure.Outcome;
 
-/** What trying to claim an idempotency key led to. */
+/** The result of trying to claim an idempotency key. */
 public sealed interface ClaimResult {
 
   /**
-   * Returns what the caller is told when the request must not be dispatched.
+   * Returns the failure to report to the caller when the request must not be dispatched.
    *
-   * @return empty for {@link Won}, and for {@link Ran} with an answer
+   * @return empty for {@link Won}, and for {@link Ran} with a stored response
    */
   default Optional<HornbeamusherException> failure() {
     return switch (this) {
@@ -31,31 +31,31 @@
   }
 
   /**
-   * This entry, and nobody else, may dispatch the request, once.
+   * This entry acquired the claim; it alone may dispatch the request, once.
    *
-   * @param claim the right to do so; it must be ended by {@link ClaimKeeper#finish}
+   * @param claim the claim; it must be finished by {@link ClaimKeeper#finish}
    */
   record Won(Claim claim) implements ClaimResult {}
 
   /**
-   * Another send of the request is running.
+   * The request is already running under another claim.
    *
-   * @param retryAfterMillis when its end is known at the latest, from now
+   * @param retryAfterMillis milliseconds from now until its outcome is known at the latest
    */
   record InProgress(long retryAfterMillis) implements ClaimResult {}
 
   /**
-   * An earlier send of the request ran.
+   * The request has already run under an earlier claim.
    *
-   * @param answer its answer, if it was kept
+   * @param answer its response, if it was stored
    */
   record Ran(Optional<StoredAnswer> answer) implements ClaimResult {}
 
-  /** An earlier send of the request may have run; nobody will ever know. */
+  /** The request may have run under an earlier claim; whether it did cannot be determined. */
   record Unknown() implements ClaimResult {}
 
   /**
-   * This send does not run.
+   * The request is refused and does not run.
    *
    * @param reason {@code INVALID_HEADER}, {@code CLAIM_KEY_EXPIRED}, {@code CLAIM_KEY_MISMATCH} or
    *     {@code CLAIM_UNAVAILABLE}
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimRow.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimRow.java
@@ -4,9 +4,9 @@
 import org.hornbeamusher.ids.ClaimToken;
 
 /**
- * What the table knows of one idempotency key.
+ * The row of one idempotency key in the table.
  *
- * <p>The states and what leads from one to the next:
+ * <p>State transitions:
  *
  * <pre>
  * (no row) --claim--> Claimed --finish(ran)------> Ran       final
@@ -17,42 +17,42 @@
  *                      NotRun
  * </pre>
  *
- * <p>Only the holder of the token leads away from {@link Claimed}. No clock does: an entry that
- * seems dead may be paused and may still have its request at an agent. After the expiry and a grace
- * a claimed row merely <em>reads</em> as unknown. Reopening it then was rejected: it is the one way
- * in which a request could run twice.
+ * <p>Only the holder of the token can leave {@link Claimed}; there is no transition by time-out,
+ * because an entry that seems dead may only be paused, and its request may still be at an agent.
+ * After the expiry and the grace period a claimed row merely <em>reads</em> as unknown. Reopening
+ * it then was rejected: it is the only way in which a request could run twice.
  *
- * @param fingerprint hash of what the caller asked for
- * @param attempt counts the claims of this key, from 1
- * @param token the latest claim
- * @param state how far it got
+ * @param fingerprint hash of the request
+ * @param attempt number of claims of this key so far
+ * @param token token of the latest claim
+ * @param state state of the latest claim
  */
 public record ClaimRow(String fingerprint, int attempt, ClaimToken token, State state) {
 
-  /** How far a claim got. */
+  /** The state of a claim. */
   public sealed interface State {}
 
   /**
    * An entry holds the claim.
    *
-   * @param expiryMillis no dispatch may start after this
+   * @param expiryMillis time after which no dispatch may start
    */
   public record Claimed(long expiryMillis) implements State {}
 
-  /** The request was proven not to have run; one new claim may follow. */
+  /** The request provably did not run; exactly one new claim may replace this one. */
   public record NotRun() implements State {}
 
   /**
    * The request ran.
    *
-   * @param answer its answer, if it is short enough to be kept
+   * @param answer its response, if it is short enough to be stored
    */
   public record Ran(Optional<StoredAnswer> answer) implements State {}
 
   /** The request may have run. */
   public record Unknown() implements State {}
 
-  ClaimRow with(State next) {
+  ClaimRow withState(State next) {
     return new ClaimRow(fingerprint, attempt, token, next);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimSettings.java
@@ -1,32 +1,36 @@
 package org.hornbeamusher.claims;
 
 /**
- * How long claims matter.
+ * Retention and time limits of claims.
  *
- * @param retentionMillis a key older than this is refused
- * @param clockSkewMillis how far the clocks of callers and entries may differ; rows are kept this
- *     much longer than the retention, and a key from further in the future is refused
+ * @param retentionMillis maximum age of a key; an older one is refused
+ * @param clockSkewMillis maximum difference between the clocks of callers and entries; rows are
+ *     kept for twice this time beyond the retention, and a key created further in the future is
+ *     refused
  * @param graceMillis how long after its expiry a claim still reads as in progress: the time an
- *     entry needs to settle an attempt and to write the end
+ *     entry needs to determine the outcome of an attempt and to write it
  */
 public record ClaimSettings(long retentionMillis, long clockSkewMillis, long graceMillis) {
 
   /**
-   * Three days: a caller that failed on a Friday evening, with nobody watching, is repaired and
-   * sends again on Monday morning.
+   * Default settings. The retention is three days, so that a caller that fails unattended on a
+   * Friday evening and is repaired on Monday morning can still retry.
    */
   public static final ClaimSettings STANDARD =
       new ClaimSettings(72 * 3_600_000L, 3_600_000L, 10_000);
 
-  boolean expired(ClaimKey key, long now) {
-    return now - key.madeMillis() > retentionMillis;
+  boolean isExpired(ClaimKey key, long now) {
+    return now - key.createdMillis() > retentionMillis;
   }
 
-  boolean fromTheFuture(ClaimKey key, long now) {
-    return key.madeMillis() - now > clockSkewMillis;
+  boolean isFromFuture(ClaimKey key, long now) {
+    return key.createdMillis() - now > clockSkewMillis;
   }
 
-  /** The time before which every key is refused by every entry, whatever its clock says. */
+  /**
+   * Returns the creation time before which every entry refuses a key, whatever its clock skew. The
+   * skew counts twice: once for the clock of this entry, once for that of another.
+   */
   long removableBefore(long now) {
     return now - retentionMillis - 2 * clockSkewMillis;
   }
--- a/runtime/src/main/java/org/hornbeamusher/claims/StoredAnswer.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/StoredAnswer.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * An answer that is short enough to be kept with its claim.
+ * A response that is short enough to be stored with its claim.
  *
  * @param status the HTTP status
  * @param contentType the media type
@@ -12,8 +12,9 @@
 public record StoredAnswer(int status, String contentType, byte[] body) {
 
   /**
-   * Longest body kept: bookings and valuations are below 1 KiB, an answer of 4,000 tokens is about
-   * this long. Longer ones are not kept; a resend is then told that the request ran.
+   * Maximum stored body length in bytes. Bookings and valuations are below 1 KiB; a response of
+   * 4,000 tokens is about this long. Longer responses are not stored; a retry is then told only
+   * that the request has run.
    */
   public static final int MAXIMUM_LENGTH = 16 * 1_024;
 
--- a/runtime/src/main/java/org/hornbeamusher/claims/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/package-info.java
@@ -1,2 +1,2 @@
-/** Claims in the platform's table that keep a non-repeatable request from running twice. */
+/** Claims in the platform's table that prevent a non-idempotent request from running twice. */
 package org.hornbeamusher.claims;
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimBatcherTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimBatcherTest.java
@@ -22,7 +22,7 @@
   private final ClaimBatcher batcher = new ClaimBatcher(table);
 
   @Test
-  void burstBehindOneTransactionGoesTogether() {
+  void writesQueuedBehindOneTransactionAreCommittedTogether() {
     List<CompletableFuture<CommitResult>> results = new ArrayList<>();
     for (int i = 0; i < 11; i++) {
       results.add(insert("key-" + i));
@@ -34,11 +34,11 @@
   }
 
   /**
-   * Among the writes of one transaction one meets a row that is already there. Only the request it
-   * belongs to may be told so; the others must be claimed.
+   * One write of a transaction conflicts with an existing row. Only that write may fail; the others
+   * must still be committed.
    */
   @Test
-  void conflictOfOneDoesNotFailTheOthers() {
+  void conflictOfOneWriteDoesNotFailTheOthers() {
     insert("taken");
     table.answerAll();
     insert("first");
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void twoWritesOfOneRowNeverMeetInOneTransaction() {
+  void twoWritesOfOneRowAreNotInOneTransaction() {
     insert("first");
     insert("same");
     CompletableFuture<CommitResult> second = insert("same");
@@ -69,7 +69,7 @@
         new Transaction.Condition.Absent(row), new Transaction.Write.Put(row, new byte[1]));
   }
 
-  /** Answers transactions only when told to. */
+  /** Holds transactions back until {@link #answerAll}. */
   private static final class HeldTable implements Table {
 
     private final MemoryTable rows = new MemoryTable();
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimKeeperTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimKeeperTest.java
@@ -20,240 +20,250 @@
 class ClaimKeeperTest {
 
   private static final ServiceName BOOKINGS = new ServiceName("haul-api");
-  private static final long START = 1_764_700_000_000L;
-  private static final long DEADLINE = 10_000;
+  private static final long START_MILLIS = 1_764_700_000_000L;
+  private static final long DEADLINE_MILLIS = 10_000;
 
   private final MemoryTable table = new MemoryTable();
-  private final ManualClock clock = new ManualClock(START);
-  private final IdempotencyKey key = ClaimKey.make(START, 1, 2);
-  private int drawn;
-  private final ClaimKeeper first = keeper();
-  private final ClaimKeeper second = keeper();
+  private final ManualClock clock = new ManualClock(START_MILLIS);
+  private final IdempotencyKey key = ClaimKey.make(START_MILLIS, 1, 2);
+  private int tokenCount;
+  private final ClaimKeeper firstEntry = keeper();
+  private final ClaimKeeper secondEntry = keeper();
 
   @Test
-  void firstSendWinsAndLaterOnesWait() {
-    assertInstanceOf(ClaimResult.Won.class, claim(first));
+  void firstClaimIsAcquiredAndLaterOnesAreInProgress() {
+    assertInstanceOf(ClaimResult.Won.class, claim(firstEntry));
 
     assertEquals(
-        new ClaimResult.InProgress(DEADLINE + ClaimSettings.STANDARD.graceMillis()), claim(second));
+        new ClaimResult.InProgress(DEADLINE_MILLIS + ClaimSettings.STANDARD.graceMillis()),
+        claim(secondEntry));
   }
 
   @Test
-  void resendGetsTheStoredAnswer() {
+  void retryGetsTheStoredResponse() {
     StoredAnswer answer = new StoredAnswer(201, "text/plain", bytes("booked"));
-    first.finish(win(first), Outcome.RAN, Optional.of(answer)).join();
+    firstEntry.finish(acquire(firstEntry), Outcome.RAN, Optional.of(answer)).join();
 
-    assertEquals(new ClaimResult.Ran(Optional.of(answer)), claim(second));
+    assertEquals(new ClaimResult.Ran(Optional.of(answer)), claim(secondEntry));
   }
 
   @Test
-  void answerThatIsTooLongIsNotKept() {
+  void tooLongResponseIsNotStored() {
     byte[] body = new byte[StoredAnswer.MAXIMUM_LENGTH + 1];
     StoredAnswer answer = new StoredAnswer(200, "text/plain", body);
-    first.finish(win(first), Outcome.RAN, Optional.of(answer)).join();
+    firstEntry.finish(acquire(firstEntry), Outcome.RAN, Optional.of(answer)).join();
 
-    ClaimResult result = claim(second);
+    ClaimResult result = claim(secondEntry);
     assertEquals(new ClaimResult.Ran(Optional.empty()), result);
     assertEquals(FailureType.CLAIM_ALREADY_RAN, result.failure().orElseThrow().type());
   }
 
   /**
-   * The caller was told that its booking was not run and sends it again, to two entries at once.
-   * One of them runs it; the other must not.
+   * A caller whose request was reported as not run retries it at two entries at once. Guards
+   * against both of them running it.
    */
   @Test
   void notRunAllowsExactlyOneNewAttempt() {
-    first.finish(win(first), Outcome.NOT_RUN, Optional.empty()).join();
+    firstEntry.finish(acquire(firstEntry), Outcome.NOT_RUN, Optional.empty()).join();
     table.beforeNextCommit(() -> {});
-    table.beforeNextCommit(() -> assertInstanceOf(ClaimResult.Won.class, claim(second)));
+    table.beforeNextCommit(() -> assertInstanceOf(ClaimResult.Won.class, claim(secondEntry)));
 
-    assertInstanceOf(ClaimResult.InProgress.class, claim(first));
+    assertInstanceOf(ClaimResult.InProgress.class, claim(firstEntry));
   }
 
   /**
-   * The table takes the claim and its answer is lost. Read back, the row shows the entry's own
-   * token; the caller's booking goes on as if nothing had happened.
+   * The table commits the claim, but its response is lost. The row that is read back contains the
+   * entry's own token, so the claim is acquired.
    */
   @Test
-  void lostAnswerIsSettledByTheToken() {
+  void lostResponseIsResolvedByTheToken() {
     table.loseAnswers(1);
 
-    assertInstanceOf(ClaimResult.Won.class, claim(first));
-    assertInstanceOf(ClaimResult.InProgress.class, claim(second));
+    assertInstanceOf(ClaimResult.Won.class, claim(firstEntry));
+    assertInstanceOf(ClaimResult.InProgress.class, claim(secondEntry));
   }
 
   /**
-   * Every answer of the table is lost, and the claim takes effect after all. The caller is told
-   * that the booking was not run, so its next send must run and must not meet the old claim.
+   * All responses of the table are lost, but the claim takes effect later. The caller was told that
+   * its request did not run, so the old claim must not block the retry.
    */
   @Test
-  void claimGivenUpIsReleasedInTheBackground() {
-    LateTable late = new LateTable(table);
+  void abandonedClaimIsReleasedInTheBackground() {
+    DelayedTable late = new DelayedTable(table);
     ClaimKeeper slow =
         new ClaimKeeper(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
-    late.loseAll(true);
+    late.loseResponses(true);
     ClaimResult refused = claim(slow);
-    late.loseAll(false);
-    late.deliverLate();
+    late.loseResponses(false);
+    late.deliver();
     assertEquals(FailureType.CLAIM_UNAVAILABLE, refused.failure().orElseThrow().type());
-    assertEquals(1, slow.unwritten());
-    assertInstanceOf(ClaimResult.InProgress.class, claim(second));
+    assertEquals(1, slow.pendingOutcomeCount());
+    assertInstanceOf(ClaimResult.InProgress.class, claim(secondEntry));
 
     slow.writeAgain();
 
-    assertEquals(0, slow.unwritten());
-    assertInstanceOf(ClaimResult.Won.class, claim(second));
+    assertEquals(0, slow.pendingOutcomeCount());
+    assertInstanceOf(ClaimResult.Won.class, claim(secondEntry));
   }
 
   /**
-   * An entry gives up a claim that never reached the table, and another entry claims the key. The
-   * release of the first must not touch the claim of the second, or the booking could run twice.
+   * An entry abandons a claim that never reached the table, and another entry claims the key.
+   * Guards against a release by the first that removes the claim of the second, after which the
+   * request could run twice.
    */
   @Test
-  void releaseLeavesAnotherEntrysClaimAlone() {
-    LateTable late = new LateTable(table);
+  void releaseDoesNotChangeAnotherEntrysClaim() {
+    DelayedTable late = new DelayedTable(table);
     ClaimKeeper slow =
         new ClaimKeeper(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
-    late.loseAll(true);
+    late.loseResponses(true);
     claim(slow);
-    late.loseAll(false);
-    assertInstanceOf(ClaimResult.Won.class, claim(second));
+    late.loseResponses(false);
+    assertInstanceOf(ClaimResult.Won.class, claim(secondEntry));
 
     slow.writeAgain();
-    late.deliverLate();
+    late.deliver();
 
-    assertInstanceOf(ClaimResult.InProgress.class, claim(first));
+    assertInstanceOf(ClaimResult.InProgress.class, claim(firstEntry));
   }
 
   /**
-   * The claim of an entry that gave up reaches the table late, after its release. It must not take
-   * effect: the caller was told not-run, and its next send would find the key taken.
+   * An abandoned claim reaches the table after its release. If it took effect, it would block the
+   * retry of a caller that was told that its request did not run.
    */
   @Test
   void claimThatArrivesAfterItsReleaseHasNoEffect() {
-    LateTable late = new LateTable(table);
+    DelayedTable late = new DelayedTable(table);
     ClaimKeeper slow =
         new ClaimKeeper(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
-    late.loseAll(true);
+    late.loseResponses(true);
     claim(slow);
-    late.loseAll(false);
+    late.loseResponses(false);
     slow.writeAgain();
-    late.deliverLate();
+    late.deliver();
 
-    assertInstanceOf(ClaimResult.Won.class, claim(second));
+    assertInstanceOf(ClaimResult.Won.class, claim(secondEntry));
   }
 
   /**
-   * The entry that holds the claim dies. Its request may be running at an agent, so the key reads
-   * as in progress until the deadline and as unknown for ever after. It never runs again.
+   * The entry that holds the claim dies, but its request may still be running at an agent. The key
+   * must read as in progress until the deadline and the grace period have passed, then as unknown
+   * for good; a new claim could run the request twice.
    */
   @Test
-  void claimOfDeadEntryReadsAsUnknownForEver() {
-    win(first);
+  void claimOfDeadEntryReadsAsUnknownPermanently() {
+    acquire(firstEntry);
 
-    clock.advance(DEADLINE + ClaimSettings.STANDARD.graceMillis() - 1);
-    assertInstanceOf(ClaimResult.InProgress.class, claim(second));
+    clock.advance(DEADLINE_MILLIS + ClaimSettings.STANDARD.graceMillis() - 1);
+    assertInstanceOf(ClaimResult.InProgress.class, claim(secondEntry));
     clock.advance(1);
-    assertInstanceOf(ClaimResult.Unknown.class, claim(second));
+    assertInstanceOf(ClaimResult.Unknown.class, claim(secondEntry));
     clock.advance(ClaimSettings.STANDARD.retentionMillis() / 2);
-    assertInstanceOf(ClaimResult.Unknown.class, claim(second));
+    assertInstanceOf(ClaimResult.Unknown.class, claim(secondEntry));
   }
 
   /**
-   * An entry is paused between claim and dispatch and wakes after the deadline. It finds that it
-   * may not dispatch any more and ends the claim as not run, after others have read it as unknown.
+   * An entry is paused between claim and dispatch until after the deadline. It must not dispatch
+   * any more, and can still record not run although others have read the claim as unknown.
    */
   @Test
-  void pausedEntryEndsItsClaimAsNotRun() {
-    Claim claim = win(first);
-    clock.advance(DEADLINE + ClaimSettings.STANDARD.graceMillis());
-    assertInstanceOf(ClaimResult.Unknown.class, claim(second));
+  void pausedEntryFinishesItsClaimAsNotRun() {
+    Claim claim = acquire(firstEntry);
+    clock.advance(DEADLINE_MILLIS + ClaimSettings.STANDARD.graceMillis());
+    assertInstanceOf(ClaimResult.Unknown.class, claim(secondEntry));
 
     assertFalse(claim.mayDispatch(clock.millis()));
-    first.finish(claim, Outcome.NOT_RUN, Optional.empty()).join();
+    firstEntry.finish(claim, Outcome.NOT_RUN, Optional.empty()).join();
 
-    assertInstanceOf(ClaimResult.Won.class, claim(second));
+    assertInstanceOf(ClaimResult.Won.class, claim(secondEntry));
   }
 
   /**
-   * The table takes longer for the claim than the caller's deadline. The caller is told in time
-   * that its booking was not run, so the claim that is won afterwards must not bar its next send.
+   * The table commits the claim only after the caller's deadline. The caller was told in time that
+   * its request did not run, so the claim must be released or it would block the retry.
    */
   @Test
-  void claimWonAfterTheDeadlineIsGivenBack() {
-    LateTable late = new LateTable(table);
+  void claimAcquiredAfterTheDeadlineIsReleased() {
+    DelayedTable late = new DelayedTable(table);
     ClaimKeeper slow =
         new ClaimKeeper(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
-    late.answerLate();
-    ClaimResult result = slow.claim(BOOKINGS, key, "print", START + 1).join();
+    late.delayTransactions();
+    ClaimResult result = slow.claim(BOOKINGS, key, "print", START_MILLIS + 1).join();
     assertEquals(FailureType.CLAIM_UNAVAILABLE, result.failure().orElseThrow().type());
 
-    late.deliverLate();
+    late.deliver();
 
-    assertInstanceOf(ClaimResult.Won.class, claim(second));
+    assertInstanceOf(ClaimResult.Won.class, claim(secondEntry));
   }
 
-  /** The table is down: a booking is refused as not run, because nothing would stop a second. */
+  /** Without the table nothing would prevent a second run, so the request is refused. */
   @Test
   void tableDownRefusesAsNotRun() {
     table.down(true);
 
-    ClaimResult result = claim(first);
+    ClaimResult result = claim(firstEntry);
 
     assertEquals(FailureType.CLAIM_UNAVAILABLE, result.failure().orElseThrow().type());
     assertEquals(Outcome.NOT_RUN, result.failure().orElseThrow().outcome());
   }
 
-  /** The table goes down while the booking runs; its end is written when the table is back. */
+  /** The table goes down while the request runs; the outcome is written after the outage. */
   @Test
-  void endIsWrittenAfterOutage() {
-    Claim claim = win(first);
+  void outcomeIsWrittenAfterOutage() {
+    Claim claim = acquire(firstEntry);
     table.down(true);
-    assertFalse(first.finish(claim, Outcome.RAN, Optional.empty()).join());
+    assertFalse(firstEntry.finish(claim, Outcome.RAN, Optional.empty()).join());
     table.down(false);
 
-    first.writeAgain();
+    firstEntry.writeAgain();
 
-    assertEquals(new ClaimResult.Ran(Optional.empty()), claim(second));
+    assertEquals(new ClaimResult.Ran(Optional.empty()), claim(secondEntry));
   }
 
-  /** The answer to the end is lost, and the caller has sent again before it is repeated. */
+  /**
+   * The response to an outcome write is lost, and the key is claimed again before the write is
+   * repeated. Guards against a repetition that overwrites the new claim.
+   */
   @Test
-  void repeatedEndLeavesTheNextClaimAlone() {
-    Claim claim = win(first);
+  void repeatedOutcomeWriteDoesNotChangeTheNextClaim() {
+    Claim claim = acquire(firstEntry);
     table.loseAnswers(1);
     table.beforeNextCommit(() -> {});
-    table.beforeNextCommit(() -> assertInstanceOf(ClaimResult.Won.class, claim(second)));
+    table.beforeNextCommit(() -> assertInstanceOf(ClaimResult.Won.class, claim(secondEntry)));
 
-    assertTrue(first.finish(claim, Outcome.NOT_RUN, Optional.empty()).join());
+    assertTrue(firstEntry.finish(claim, Outcome.NOT_RUN, Optional.empty()).join());
 
-    assertInstanceOf(ClaimResult.InProgress.class, claim(first));
+    assertInstanceOf(ClaimResult.InProgress.class, claim(firstEntry));
   }
 
   @Test
-  void keyOfAnotherRequestIsRefused() {
-    win(first);
+  void keyWithAnotherFingerprintIsRefused() {
+    acquire(firstEntry);
 
-    ClaimResult result = second.claim(BOOKINGS, key, "another", START + DEADLINE).join();
+    ClaimResult result =
+        secondEntry.claim(BOOKINGS, key, "another", START_MILLIS + DEADLINE_MILLIS).join();
 
     assertEquals(FailureType.CLAIM_KEY_MISMATCH, result.failure().orElseThrow().type());
   }
 
   /**
-   * A caller repeats a booking from long ago. Its row may have been removed, so the key would look
-   * like a new one; its own time tells that it is not.
+   * The row of an old key may have been deleted, so the key would look new and its request would
+   * run again; the creation time in the key shows that it is old.
    */
   @Test
   void keyOlderThanTheRetentionIsRefused() {
     clock.advance(ClaimSettings.STANDARD.retentionMillis() + 1);
 
-    assertEquals(FailureType.CLAIM_KEY_EXPIRED, claim(first).failure().orElseThrow().type());
+    assertEquals(FailureType.CLAIM_KEY_EXPIRED, claim(firstEntry).failure().orElseThrow().type());
   }
 
   @Test
   void keyWithoutTimeIsRefused() {
     ClaimResult result =
-        first.claim(BOOKINGS, new IdempotencyKey("booking-7"), "print", START + DEADLINE).join();
+        firstEntry
+            .claim(
+                BOOKINGS, new IdempotencyKey("booking-7"), "print", START_MILLIS + DEADLINE_MILLIS)
+            .join();
 
     assertEquals(
         "The header Idempotency-Key is not valid: it must be a UUID of version 7.",
@@ -262,37 +272,42 @@
 
   @Test
   void keyFromTheFutureIsRefused() {
-    IdempotencyKey future = ClaimKey.make(START + 7_200_000, 1, 2);
+    IdempotencyKey future = ClaimKey.make(START_MILLIS + 7_200_000, 1, 2);
 
     assertEquals(
         FailureType.INVALID_HEADER,
-        first.claim(BOOKINGS, future, "print", START).join().failure().orElseThrow().type());
+        firstEntry
+            .claim(BOOKINGS, future, "print", START_MILLIS)
+            .join()
+            .failure()
+            .orElseThrow()
+            .type());
   }
 
   @Test
-  void cleanerRemovesOnlyRowsThatNobodyCanClaim() {
-    win(first);
+  void cleanerDeletesOnlyRowsThatNoEntryCanClaim() {
+    acquire(firstEntry);
     ClaimCleaner cleaner =
         new ClaimCleaner(table, ClaimSettings.STANDARD, clock, () -> 400, new Random(1));
     long kept = ClaimSettings.STANDARD.retentionMillis() + 2 * 3_600_000L;
 
     clock.advance(kept);
-    assertEquals(0, cleaner.clean().join());
+    assertEquals(0, cleaner.deleteExpired().join());
     clock.advance(1);
-    assertEquals(1, cleaner.clean().join());
+    assertEquals(1, cleaner.deleteExpired().join());
     assertEquals(800_000, cleaner.intervalMillis());
   }
 
   private ClaimKeeper keeper() {
     return new ClaimKeeper(
-        table, ClaimSettings.STANDARD, clock, () -> new ClaimToken("token-" + ++drawn));
+        table, ClaimSettings.STANDARD, clock, () -> new ClaimToken("token-" + ++tokenCount));
   }
 
   private ClaimResult claim(ClaimKeeper keeper) {
-    return keeper.claim(BOOKINGS, key, "print", START + DEADLINE).join();
+    return keeper.claim(BOOKINGS, key, "print", START_MILLIS + DEADLINE_MILLIS).join();
   }
 
-  private Claim win(ClaimKeeper keeper) {
+  private Claim acquire(ClaimKeeper keeper) {
     return assertInstanceOf(ClaimResult.Won.class, claim(keeper)).claim();
   }
 
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimStateMachineTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimStateMachineTest.java
@@ -23,19 +23,22 @@
 import org.hornbeamusher.ids.ServiceName;
 import org.hornbeamusher.table.MemoryTable;
 
-/** Any order of sends, runs, ends, outages and lost answers, at three entries. */
+/**
+ * Applies random sequences of claims, dispatches, outcomes, table outages and lost responses to
+ * three entries and checks that the request runs at most once.
+ */
 class ClaimStateMachineTest {
 
-  private static final long START = 1_764_700_000_000L;
-  private static final int ENTRIES = 3;
+  private static final long START_MILLIS = 1_764_700_000_000L;
+  private static final int ENTRY_COUNT = 3;
 
   @Property(seed = "61", tries = 1_000)
   void nothingRunsTwice(@ForAll("chains") ActionChain<World> chain) {
     chain
-        .withInvariant("at most one run", world -> assertTrue(world.runs <= 1))
+        .withInvariant("the request runs at most once", world -> assertTrue(world.runs <= 1))
         .withInvariant(
-            "not-run was not run",
-            world -> assertTrue(world.toldNotRun.stream().noneMatch(world::ran)))
+            "a request reported as not run did not run",
+            world -> assertTrue(world.reportedNotRun.stream().noneMatch(world::ran)))
         .run();
   }
 
@@ -43,47 +46,47 @@
   ActionChainArbitrary<World> chains() {
     return ActionChain.startWith(World::new)
         .withAction(6, new Send())
-        .withAction(4, new Run())
-        .withAction(4, new End())
+        .withAction(4, new Dispatch())
+        .withAction(4, new Finish())
         .withAction(2, new LoseAnswers())
         .withAction(1, new Outage())
-        .withAction(2, new WriteAgain())
-        .withAction(2, new Wait())
+        .withAction(2, new RetryPendingWrites())
+        .withAction(2, new AdvanceClock())
         .withMaxTransformations(40);
   }
 
   private static final class World {
 
     private final MemoryTable table = new MemoryTable();
-    private final ManualClock clock = new ManualClock(START);
-    private final IdempotencyKey key = ClaimKey.make(START, 1, 2);
+    private final ManualClock clock = new ManualClock(START_MILLIS);
+    private final IdempotencyKey key = ClaimKey.make(START_MILLIS, 1, 2);
     private final List<ClaimKeeper> entries = new ArrayList<>();
-    private final List<Held> held = new ArrayList<>();
-    private final List<ClaimToken> toldNotRun = new ArrayList<>();
-    private final Map<ClaimToken, Integer> ranFor = new HashMap<>();
+    private final List<HeldClaim> held = new ArrayList<>();
+    private final List<ClaimToken> reportedNotRun = new ArrayList<>();
+    private final Map<ClaimToken, Integer> runsByToken = new HashMap<>();
     private int runs;
-    private int drawn;
+    private int tokenCount;
 
     World() {
-      for (int i = 0; i < ENTRIES; i++) {
+      for (int i = 0; i < ENTRY_COUNT; i++) {
         entries.add(
             new ClaimKeeper(
-                table, ClaimSettings.STANDARD, clock, () -> new ClaimToken("t-" + ++drawn)));
+                table, ClaimSettings.STANDARD, clock, () -> new ClaimToken("t-" + ++tokenCount)));
       }
     }
 
     boolean ran(ClaimToken token) {
-      return ranFor.containsKey(token);
+      return runsByToken.containsKey(token);
     }
   }
 
-  private static final class Held {
+  private static final class HeldClaim {
 
     private final int entry;
     private final Claim claim;
     private boolean dispatched;
 
-    Held(int entry, Claim claim) {
+    HeldClaim(int entry, Claim claim) {
       this.entry = entry;
       this.claim = claim;
     }
@@ -93,7 +96,7 @@
     @Override
     public Arbitrary<Transformer<World>> transformer() {
       return Arbitraries.integers()
-          .between(0, ENTRIES - 1)
+          .between(0, ENTRY_COUNT - 1)
           .map(entry -> Transformer.mutate("send to " + entry, world -> send(world, entry)));
     }
 
@@ -106,46 +109,49 @@
               .claim(new ServiceName("haul-api"), world.key, "print", expiry)
               .join();
       if (result instanceof ClaimResult.Won won) {
-        world.held.add(new Held(entry, won.claim()));
+        world.held.add(new HeldClaim(entry, won.claim()));
       }
     }
   }
 
-  /** An entry dispatches what it has won, unless the expiry has passed. */
-  private static final class Run implements Action.Independent<World> {
+  /** Every entry dispatches the claims that it has acquired, unless they have expired. */
+  private static final class Dispatch implements Action.Independent<World> {
     @Override
     public Arbitrary<Transformer<World>> transformer() {
-      return Arbitraries.just(Transformer.mutate("run", Run::run));
+      return Arbitraries.just(Transformer.mutate("dispatch", Dispatch::dispatch));
     }
 
-    private static void run(World world) {
-      for (Held held : world.held) {
+    private static void dispatch(World world) {
+      for (HeldClaim held : world.held) {
         if (!held.dispatched && held.claim.mayDispatch(world.clock.millis())) {
           held.dispatched = true;
           world.runs++;
-          world.ranFor.merge(held.claim.token(), 1, Integer::sum);
+          world.runsByToken.merge(held.claim.token(), 1, Integer::sum);
         }
       }
     }
   }
 
-  private static final class End implements Action.Independent<World> {
+  private static final class Finish implements Action.Independent<World> {
     @Override
     public Arbitrary<Transformer<World>> transformer() {
       return Arbitraries.of(true, false)
-          .map(known -> Transformer.mutate("end, known " + known, world -> end(world, known)));
+          .map(
+              known ->
+                  Transformer.mutate(
+                      "finish, outcome known: " + known, world -> finish(world, known)));
     }
 
-    private static void end(World world, boolean known) {
+    private static void finish(World world, boolean known) {
       if (world.held.isEmpty()) {
         return;
       }
-      Held held = world.held.removeFirst();
+      HeldClaim held = world.held.removeFirst();
       Outcome outcome = held.dispatched ? Outcome.RAN : Outcome.NOT_RUN;
-      Outcome told = known ? outcome : Outcome.UNKNOWN;
-      world.entries.get(held.entry).finish(held.claim, told, Optional.empty()).join();
-      if (told.equals(Outcome.NOT_RUN)) {
-        world.toldNotRun.add(held.claim.token());
+      Outcome reported = known ? outcome : Outcome.UNKNOWN;
+      world.entries.get(held.entry).finish(held.claim, reported, Optional.empty()).join();
+      if (reported.equals(Outcome.NOT_RUN)) {
+        world.reportedNotRun.add(held.claim.token());
       }
     }
   }
@@ -155,7 +161,8 @@
     public Arbitrary<Transformer<World>> transformer() {
       return Arbitraries.integers()
           .between(1, 9)
-          .map(n -> Transformer.mutate("lose " + n, world -> world.table.loseAnswers(n)));
+          .map(
+              n -> Transformer.mutate("lose responses: " + n, world -> world.table.loseAnswers(n)));
     }
   }
 
@@ -163,26 +170,28 @@
     @Override
     public Arbitrary<Transformer<World>> transformer() {
       return Arbitraries.of(true, false)
-          .map(down -> Transformer.mutate("down " + down, world -> world.table.down(down)));
+          .map(down -> Transformer.mutate("table down: " + down, world -> world.table.down(down)));
     }
   }
 
-  private static final class WriteAgain implements Action.Independent<World> {
+  private static final class RetryPendingWrites implements Action.Independent<World> {
     @Override
     public Arbitrary<Transformer<World>> transformer() {
       return Arbitraries.just(
           Transformer.mutate(
-              "write again", world -> world.entries.forEach(ClaimKeeper::writeAgain)));
+              "retry pending writes", world -> world.entries.forEach(ClaimKeeper::writeAgain)));
     }
   }
 
-  private static final class Wait implements Action.Independent<World> {
+  private static final class AdvanceClock implements Action.Independent<World> {
     @Override
     public Arbitrary<Transformer<World>> transformer() {
       return Arbitraries.longs()
           .between(1, 30_000)
           .map(
-              millis -> Transformer.mutate("wait " + millis, world -> world.clock.advance(millis)));
+              millis ->
+                  Transformer.mutate(
+                      "advance clock by " + millis, world -> world.clock.advance(millis)));
     }
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/claims/LateTable.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/DelayedTable.java
@@ -13,33 +13,36 @@
 import org.hornbeamusher.table.Table;
 import org.hornbeamusher.table.Transaction;
 
-/** Holds transactions back; their callers hear nothing meanwhile, or that the answer is lost. */
-final class LateTable implements Table {
+/**
+ * A table that delays transactions until {@link #deliver}; their callers get no response until
+ * then, or a lost-response failure at once.
+ */
+final class DelayedTable implements Table {
 
   private final Table table;
-  private final ArrayDeque<Transaction> heldBack = new ArrayDeque<>();
-  private boolean losing;
-  private CompletableFuture<Void> waiting;
+  private final ArrayDeque<Transaction> delayed = new ArrayDeque<>();
+  private boolean losingResponses;
+  private CompletableFuture<Void> delivery;
 
-  LateTable(Table table) {
+  DelayedTable(Table table) {
     this.table = table;
   }
 
-  void loseAll(boolean isLosing) {
-    losing = isLosing;
+  void loseResponses(boolean lose) {
+    losingResponses = lose;
   }
 
-  /** Makes the next transaction wait for {@link #deliverLate}, and its answer too. */
-  void answerLate() {
-    waiting = new CompletableFuture<>();
+  /** Delays transactions and their responses until {@link #deliver}. */
+  void delayTransactions() {
+    delivery = new CompletableFuture<>();
   }
 
-  void deliverLate() {
-    heldBack.forEach(transaction -> table.commit(transaction).join());
-    heldBack.clear();
-    if (waiting != null) {
-      CompletableFuture<Void> delivered = waiting;
-      waiting = null;
+  void deliver() {
+    delayed.forEach(transaction -> table.commit(transaction).join());
+    delayed.clear();
+    if (delivery != null) {
+      CompletableFuture<Void> delivered = delivery;
+      delivery = null;
       delivered.complete(null);
     }
   }
@@ -56,13 +59,13 @@
 
   @Override
   public CompletableFuture<CommitResult> commit(Transaction transaction) {
-    if (losing) {
-      heldBack.add(transaction);
+    if (losingResponses) {
+      delayed.add(transaction);
       return CompletableFuture.failedFuture(
           HornbeamusherException.of(FailureType.PLATFORM_ANSWER_LOST, Outcome.UNKNOWN, "late"));
     }
-    if (waiting != null) {
-      return waiting.thenCompose(delivered -> table.commit(transaction));
+    if (delivery != null) {
+      return delivery.thenCompose(delivered -> table.commit(transaction));
     }
     return table.commit(transaction);
   }
