--- a/runtime/src/main/java/org/hornbeamusher/quarantine/Fingerprint.java
+++ b/runtime/src/main/java/org/hornbeamusher/quarantine/Fingerprint.java
@@ -11,43 +11,44 @@
 import org.hornbeamusher.failure.Outcome;
 
 /**
- * Identifies what an endpoint is made to do by a request, whoever sends it and whenever.
+ * Computes a hash of the work that a request makes an endpoint do, independent of its caller and
+ * its time.
  *
- * <p>The idempotency key and the request id are left out: a caller that sends a crashing request
- * again gives it new ones. The first 8 bytes of a SHA-256 digest are used; among the 10,000
- * fingerprints that are remembered the chance that a given other request matches one is 10,000 /
- * 2^64, and nobody can search for a match cheaply enough to have another's request refused.
+ * <p>The idempotency key and the request id are not included, because a caller that retries a
+ * crashing request creates new ones. The hash is the first 8 bytes of a SHA-256 digest: with 10,000
+ * remembered fingerprints the probability that some other request matches one is 10,000 / 2^64, and
+ * searching for a match in order to have another caller's request refused is too expensive.
  */
 public final class Fingerprint {
 
   private Fingerprint() {}
 
   /**
-   * Computes a fingerprint.
+   * Computes the fingerprint of a request.
    *
    * @param service the service's name
-   * @param model the adapter and version, or the path of a plain service's call
+   * @param model the adapter and version, or the path of a call to a plain service
    * @param prompt the prompt or body
-   * @param parameters what else changes the run, for example {@code max_tokens}
-   * @return 64 bits
+   * @param parameters other parameters that influence the execution, for example {@code max_tokens}
+   * @return the 64-bit fingerprint
    */
   public static long of(
       String service, String model, byte[] prompt, Map<String, String> parameters) {
     MessageDigest digest = sha256();
-    put(digest, service.getBytes(StandardCharsets.UTF_8));
-    put(digest, model.getBytes(StandardCharsets.UTF_8));
-    put(digest, prompt);
+    update(digest, service.getBytes(StandardCharsets.UTF_8));
+    update(digest, model.getBytes(StandardCharsets.UTF_8));
+    update(digest, prompt);
     SortedMap<String, String> sorted = new TreeMap<>(parameters);
     sorted.forEach(
         (name, value) -> {
-          put(digest, name.getBytes(StandardCharsets.UTF_8));
-          put(digest, value.getBytes(StandardCharsets.UTF_8));
+          update(digest, name.getBytes(StandardCharsets.UTF_8));
+          update(digest, value.getBytes(StandardCharsets.UTF_8));
         });
     return java.nio.ByteBuffer.wrap(digest.digest()).getLong();
   }
 
-  /** The length goes first, so that no two different lists of fields give the same bytes. */
-  private static void put(MessageDigest digest, byte[] field) {
+  /** Adds a field, preceded by its length so that different field lists give different input. */
+  private static void update(MessageDigest digest, byte[] field) {
     digest.update(java.nio.ByteBuffer.allocate(Integer.BYTES).putInt(field.length).flip());
     digest.update(field);
   }
--- a/runtime/src/main/java/org/hornbeamusher/quarantine/Quarantine.java
+++ b/runtime/src/main/java/org/hornbeamusher/quarantine/Quarantine.java
@@ -9,34 +9,35 @@
 import org.hornbeamusher.ids.EndpointId;
 
 /**
- * Counts the endpoints that crashed while they ran a request and refuses it after the second. Not
- * safe for use by several threads at once.
+ * Counts, for each request fingerprint, the endpoints that crashed while running it, and refuses
+ * the request after the second crash. Not thread-safe.
  *
- * <p><b>Pattern.</b> One request crashes each endpoint that runs it, and its caller sends it again.
- * Without this class it takes the whole pool down, one endpoint after the other, and each restart
- * is a cold start for all adapters that were resident there.
+ * <p><b>Problem.</b> A request crashes every endpoint that runs it, and its caller keeps retrying.
+ * Without this class it would take down the whole pool, one endpoint after another, and each
+ * restart is a cold start for all adapters that were resident there.
  *
- * <p>A crash shows only which requests were running, not which one did it. All of them become
- * suspects. A suspect is not refused, for most of them are innocent, but from then on it runs at
- * most once at a time and apart from other suspects, so that the next crash has one suspect only.
- * The second crash of a suspect puts it into quarantine.
+ * <p><b>Algorithm.</b> A crash shows only which requests were running, not which of them caused it.
+ * All of them become suspects. Suspects are not refused, because most of them did not cause the
+ * crash, but from then on a suspect runs at most once at a time and not on the same endpoint as
+ * another suspect, so that the next crash has a single suspect. A suspect is quarantined after its
+ * second crash.
  *
- * <p><b>Several entries.</b> Crashes are rare, so what is known of them fits into the table: one
- * row for each fingerprint that was running at a crash, with the count and the token of the entry
- * that runs it now. The entry that loses an attempt to a crash, and the agent of the endpoint, tell
- * the others at once ({@link #observed}); that is fast but may be lost. What makes the bound hold
- * is the row: a suspect ({@link QuarantineDecision.AllowAlone}) is dispatched only after a
- * compare-and-set of its row from "idle" to "running", and with the table down it is refused. Two
- * entries that both know of the first crash therefore cannot run it side by side, and an entry that
- * reads the row on the way to its claim learns of the second.
+ * <p><b>Several entries.</b> Crashes are rare enough to be recorded in the table: one row for each
+ * fingerprint that was running at a crash, with the crash count and the time until which one entry
+ * may run it. The entry that loses an attempt to a crash, and the agent of the endpoint, notify the
+ * other entries at once ({@link #observed}); this is fast, but a notification may be lost. The
+ * limit is enforced by the row: a suspect ({@link QuarantineDecision.AllowAlone}) is dispatched
+ * only after a compare-and-set of its row from idle to running, and it is refused while the table
+ * is down. So two entries that both know of the first crash cannot run the suspect concurrently,
+ * and an entry that missed the second crash finds it in the row.
  *
- * <p>What the row cannot cover is copies that were already running on several endpoints before the
- * first crash. Rendezvous hashing sends copies of one request to one endpoint in the first place,
- * where they are lost together.
+ * <p>The row does not cover copies that were already running on several endpoints before the first
+ * crash. Rendezvous hashing normally sends copies of a request to the same endpoint, where they are
+ * lost together.
  *
- * <p>Rejected: a row that each request reads would cost as many reads a second as there are
- * requests, which is more than the table gives. Refusing after the first crash would refuse up to a
- * whole batch of innocent requests for each crash.
+ * <p>Rejected: reading a row for every request, which would need as many reads per second as there
+ * are requests, more than the table provides; and refusing after the first crash, which would
+ * refuse up to a whole batch of harmless requests for each crash.
  */
 public final class Quarantine {
 
@@ -44,17 +45,17 @@
 
   private final QuarantineSettings settings;
 
-  /** Fingerprints with at least one crash, the least recently crashed first. */
+  /** Fingerprints with at least one crash, ordered by last crash, the oldest first. */
   private final LinkedHashMap<Long, Suspect> suspects = new LinkedHashMap<>();
 
-  /** Attempts in flight from this entry for each fingerprint; absent when none. */
-  private final Map<Long, Integer> running = new HashMap<>();
+  /** Number of attempts of this entry in flight per fingerprint; absent when there are none. */
+  private final Map<Long, Integer> inFlight = new HashMap<>();
 
-  /** Where suspects run that this entry has sent; each runs at most once. */
-  private final Map<Long, EndpointId> suspectsAt = new HashMap<>();
+  /** Endpoint of each suspect that this entry has in flight; each has at most one attempt. */
+  private final Map<Long, EndpointId> suspectEndpoints = new HashMap<>();
 
   /**
-   * Creates a quarantine that knows of no crash.
+   * Creates a quarantine without recorded crashes.
    *
    * @param settings limits
    */
@@ -65,99 +66,101 @@
   /**
    * Decides whether a request may run.
    *
-   * @param fingerprint what it is
-   * @param now milliseconds
-   * @return whether, and under which conditions
+   * @param fingerprint the request's fingerprint
+   * @param now current time in milliseconds
+   * @return whether the request may run, and under which conditions
    */
   public QuarantineDecision check(long fingerprint, long now) {
-    Suspect suspect = current(fingerprint, now);
+    Suspect suspect = currentSuspect(fingerprint, now);
     if (suspect == null) {
       return new QuarantineDecision.Allow();
     }
     if (suspect.crashes() >= settings.crashLimit()) {
       return new QuarantineDecision.Refuse(FailureType.QUARANTINED, expiryMillis(suspect) - now);
     }
-    if (running.containsKey(fingerprint)) {
+    if (inFlight.containsKey(fingerprint)) {
       return new QuarantineDecision.Refuse(FailureType.SUSPECT_RUNNING, RETRY_AFTER_RUNNING_MILLIS);
     }
     return new QuarantineDecision.AllowAlone();
   }
 
   /**
-   * Records that an attempt was sent.
+   * Records that an attempt was dispatched.
    *
-   * @param fingerprint what it runs
-   * @param now milliseconds
+   * @param fingerprint the request's fingerprint
+   * @param now current time in milliseconds
    */
   public void started(long fingerprint, long now) {
-    running.merge(fingerprint, 1, Integer::sum);
+    inFlight.merge(fingerprint, 1, Integer::sum);
   }
 
   /**
-   * Records that an attempt was sent, and where, so that suspects can be kept apart.
+   * Records that an attempt was dispatched to an endpoint, so that suspects can be kept on
+   * different endpoints.
    *
-   * @param fingerprint what it runs
-   * @param endpoint where
-   * @param now milliseconds
+   * @param fingerprint the request's fingerprint
+   * @param endpoint the endpoint
+   * @param now current time in milliseconds
    */
   public void started(long fingerprint, EndpointId endpoint, long now) {
     started(fingerprint, now);
-    if (current(fingerprint, now) != null) {
-      suspectsAt.put(fingerprint, endpoint);
+    if (currentSuspect(fingerprint, now) != null) {
+      suspectEndpoints.put(fingerprint, endpoint);
     }
   }
 
   /**
-   * Returns where suspects run now. Another suspect must not be sent there: a crash of both would
-   * put the innocent one into quarantine with the other.
+   * Returns the endpoints that currently run a suspect from this entry. No other suspect may be
+   * sent there: a crash would count for both and could quarantine the one that did not cause it.
    *
-   * @return endpoints to exclude for a request that is allowed alone
+   * @return endpoints to exclude for a request that gets {@link QuarantineDecision.AllowAlone}
    */
   public Set<EndpointId> endpointsRunningSuspects() {
-    return Set.copyOf(suspectsAt.values());
+    return Set.copyOf(suspectEndpoints.values());
   }
 
   /**
-   * Records that the endpoint crashed during an attempt; it ends the attempt, too.
+   * Records that the endpoint crashed during an attempt, which also ends the attempt.
    *
-   * @param fingerprint what it ran
-   * @param now milliseconds
-   * @return crashes known of this fingerprint
+   * @param fingerprint the request's fingerprint
+   * @param now current time in milliseconds
+   * @return the number of known crashes of this fingerprint
    */
   public int crashed(long fingerprint, long now) {
     ended(fingerprint, now);
-    Suspect known = current(fingerprint, now);
-    int crashes = known == null ? 1 : known.crashes() + 1;
-    remember(fingerprint, crashes, now);
+    Suspect suspect = currentSuspect(fingerprint, now);
+    int crashes = suspect == null ? 1 : suspect.crashes() + 1;
+    recordSuspect(fingerprint, crashes, now);
     return crashes;
   }
 
   /**
    * Records that an attempt ended without a crash.
    *
-   * @param fingerprint what it ran
-   * @param now milliseconds
+   * @param fingerprint the request's fingerprint
+   * @param now current time in milliseconds
    */
   public void ended(long fingerprint, long now) {
-    running.computeIfPresent(fingerprint, (key, count) -> count > 1 ? count - 1 : null);
-    suspectsAt.remove(fingerprint);
+    inFlight.computeIfPresent(fingerprint, (key, count) -> count > 1 ? count - 1 : null);
+    suspectEndpoints.remove(fingerprint);
   }
 
   /**
-   * Takes in what the table, an agent or another entry knows. Counts only rise.
+   * Merges the crash count that the table, an agent or another entry reports. The known count never
+   * decreases.
    *
-   * @param fingerprint what ran
-   * @param crashes crashes known there
-   * @param now milliseconds
+   * @param fingerprint the request's fingerprint
+   * @param crashes the reported number of crashes
+   * @param now current time in milliseconds
    */
   public void observed(long fingerprint, int crashes, long now) {
-    Suspect known = current(fingerprint, now);
-    if (crashes > 0 && (known == null || known.crashes() < crashes)) {
-      remember(fingerprint, crashes, now);
+    Suspect suspect = currentSuspect(fingerprint, now);
+    if (crashes > 0 && (suspect == null || suspect.crashes() < crashes)) {
+      recordSuspect(fingerprint, crashes, now);
     }
   }
 
-  private void remember(long fingerprint, int crashes, long now) {
+  private void recordSuspect(long fingerprint, int crashes, long now) {
     suspects.remove(fingerprint);
     suspects.put(fingerprint, new Suspect(crashes, now));
     Iterator<Long> oldestFirst = suspects.keySet().iterator();
@@ -167,7 +170,7 @@
     }
   }
 
-  private Suspect current(long fingerprint, long now) {
+  private Suspect currentSuspect(long fingerprint, long now) {
     Suspect suspect = suspects.get(fingerprint);
     if (suspect != null && now >= expiryMillis(suspect)) {
       suspects.remove(fingerprint);
--- a/runtime/src/main/java/org/hornbeamusher/quarantine/QuarantineDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/quarantine/QuarantineDecision.java
@@ -2,24 +2,25 @@
 
 import org.hornbeamusher.failure.FailureType;
 
-/** Whether a request may run. */
+/** Whether, and under which conditions, a request may run. */
 public sealed interface QuarantineDecision {
 
-  /** Nothing speaks against the request. */
+  /** The request may run; no crash of it is known. */
   record Allow() implements QuarantineDecision {}
 
   /**
-   * An endpoint crashed while it ran this request among others. It may run again, but only after
-   * its row in the table has been claimed, and on no endpoint that runs another suspect.
+   * An endpoint crashed while running this request, possibly among others. It may run again, but
+   * only after its row in the table has been claimed, and not on an endpoint that runs another
+   * suspect.
    */
   record AllowAlone() implements QuarantineDecision {}
 
   /**
    * The request must not run.
    *
-   * @param type {@link FailureType#QUARANTINED}, or {@link FailureType#SUSPECT_RUNNING} when it may
-   *     run once the same request that runs now has ended
-   * @param retryAfterMillis when it may be sent again, from now
+   * @param type {@link FailureType#QUARANTINED}, or {@link FailureType#SUSPECT_RUNNING} when the
+   *     same request is running and this one may be retried after it has ended
+   * @param retryAfterMillis milliseconds from now until the request may be retried
    */
   record Refuse(FailureType type, long retryAfterMillis) implements QuarantineDecision {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/quarantine/QuarantineSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/quarantine/QuarantineSettings.java
@@ -1,12 +1,13 @@
 package org.hornbeamusher.quarantine;
 
 /**
- * Figures of the quarantine.
+ * Limits of the quarantine.
  *
- * @param crashLimit crashes at which a fingerprint is refused
+ * @param crashLimit number of crashes from which a fingerprint is refused
  * @param suspectMillis how long a fingerprint below the limit is remembered after its last crash
- * @param quarantineMillis how long one at the limit is remembered
- * @param capacity most fingerprints remembered; the one whose crash is oldest goes first
+ * @param quarantineMillis how long a fingerprint at the limit is remembered after its last crash
+ * @param capacity maximum number of remembered fingerprints; the one with the oldest last crash is
+ *     evicted first
  */
 public record QuarantineSettings(
     int crashLimit, long suspectMillis, long quarantineMillis, int capacity) {
@@ -14,8 +15,9 @@
   private static final long DAY_MILLIS = 24L * 60 * 60 * 1_000;
 
   /**
-   * Two crashes; a day for suspects, 90 days for the quarantined; 10,000 fingerprints, which is
-   * more than batches of 8 at 19 failing instances a day leave behind in 60 days.
+   * Default limits: two crashes; one day for suspects, 90 days for quarantined requests; 10,000
+   * fingerprints, which is more than the 9,120 that 19 instance failures per day with batches of 8
+   * requests leave behind in 60 days.
    */
   public static final QuarantineSettings DEFAULT =
       new QuarantineSettings(2, DAY_MILLIS, 90 * DAY_MILLIS, 10_000);
--- a/runtime/src/main/java/org/hornbeamusher/quarantine/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/quarantine/package-info.java
@@ -1,2 +1,5 @@
-/** Keeps a request that crashes endpoints from reaching more of them. No network, no threads. */
+/**
+ * Stops a request that crashes endpoints from reaching further ones. The code does no I/O and
+ * starts no threads.
+ */
 package org.hornbeamusher.quarantine;
--- a/runtime/src/test/java/org/hornbeamusher/quarantine/QuarantineTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/quarantine/QuarantineTest.java
@@ -20,34 +20,36 @@
 
 class QuarantineTest {
 
-  private static final long POISON = 42;
-  private static final int ENTRIES = 3;
-  private static final long HOUR = 3_600_000;
+  private static final long CRASHING_FINGERPRINT = 42;
+  private static final int ENTRY_COUNT = 3;
+  private static final long HOUR_MILLIS = 3_600_000;
 
   private final Quarantine quarantine = new Quarantine(QuarantineSettings.DEFAULT);
 
   @Test
-  void requestNobodyHasComplainedOfRuns() {
-    assertInstanceOf(QuarantineDecision.Allow.class, quarantine.check(POISON, 0));
+  void requestWithoutKnownCrashIsAllowed() {
+    assertInstanceOf(QuarantineDecision.Allow.class, quarantine.check(CRASHING_FINGERPRINT, 0));
   }
 
-  // An endpoint crashed with a whole batch running. One of the batch may have done it; the others
-  // must still be answered, but no two copies of a suspect at a time.
+  // After a crash every request of the batch is a suspect, but only one may have caused it. The
+  // others must still run, with at most one copy of a suspect at a time.
   @Test
-  void suspectRunsAloneAndNeverTwiceAtOnce() {
-    quarantine.started(POISON, 0);
-    quarantine.crashed(POISON, 10);
-    assertInstanceOf(QuarantineDecision.AllowAlone.class, quarantine.check(POISON, 20));
-    quarantine.started(POISON, 20);
+  void suspectIsAllowedAloneAndNotConcurrently() {
+    quarantine.started(CRASHING_FINGERPRINT, 0);
+    quarantine.crashed(CRASHING_FINGERPRINT, 10);
+    assertInstanceOf(
+        QuarantineDecision.AllowAlone.class, quarantine.check(CRASHING_FINGERPRINT, 20));
+    quarantine.started(CRASHING_FINGERPRINT, 20);
     assertRefused(FailureType.SUSPECT_RUNNING, 30);
-    quarantine.ended(POISON, 40);
-    assertInstanceOf(QuarantineDecision.AllowAlone.class, quarantine.check(POISON, 50));
+    quarantine.ended(CRASHING_FINGERPRINT, 40);
+    assertInstanceOf(
+        QuarantineDecision.AllowAlone.class, quarantine.check(CRASHING_FINGERPRINT, 50));
   }
 
-  // A crash leaves eight suspects, and the same order of preference would send all of them to the
-  // next endpoint together. Its crash would put seven innocent requests into quarantine.
+  // A crash leaves eight suspects, and routing could send all of them to the same next endpoint. If
+  // that crashed too, seven harmless requests would be quarantined.
   @Test
-  void endpointsThatRunSuspectsAreNamedUntilTheyEnd() {
+  void endpointsRunningSuspectsAreReportedUntilTheAttemptsEnd() {
     EndpointId first = new EndpointId("valuer-1");
     quarantine.started(7, first, 0);
     assertEquals(Set.of(), quarantine.endpointsRunningSuspects());
@@ -58,35 +60,35 @@
     assertEquals(Set.of(), quarantine.endpointsRunningSuspects());
   }
 
-  // The same request has taken two endpoints down and its caller sends it again. A third run would
-  // cost a third endpoint its resident adapters.
+  // Guards against a request that has crashed two endpoints and is retried on a third.
   @Test
-  void secondCrashPutsTheRequestIntoQuarantine() {
-    quarantine.started(POISON, 0);
-    assertEquals(1, quarantine.crashed(POISON, 10));
-    quarantine.started(POISON, 20);
-    assertEquals(2, quarantine.crashed(POISON, 30));
+  void requestIsQuarantinedAfterTheSecondCrash() {
+    quarantine.started(CRASHING_FINGERPRINT, 0);
+    assertEquals(1, quarantine.crashed(CRASHING_FINGERPRINT, 10));
+    quarantine.started(CRASHING_FINGERPRINT, 20);
+    assertEquals(2, quarantine.crashed(CRASHING_FINGERPRINT, 30));
     assertRefused(FailureType.QUARANTINED, 40);
-    assertRefused(FailureType.QUARANTINED, 40 + 48 * HOUR);
+    assertRefused(FailureType.QUARANTINED, 40 + 48 * HOUR_MILLIS);
   }
 
   @Test
-  void crashesSeenByOthersCount() {
-    quarantine.observed(POISON, 2, 0);
+  void crashesReportedByOthersCountAndNeverDecrease() {
+    quarantine.observed(CRASHING_FINGERPRINT, 2, 0);
     assertRefused(FailureType.QUARANTINED, 10);
-    quarantine.observed(POISON, 1, 20);
+    quarantine.observed(CRASHING_FINGERPRINT, 1, 20);
     assertRefused(FailureType.QUARANTINED, 30);
   }
 
   @Test
-  void suspectIsForgottenAfterOneDay() {
-    quarantine.observed(POISON, 1, 0);
-    assertInstanceOf(QuarantineDecision.Allow.class, quarantine.check(POISON, 25 * HOUR));
+  void suspectExpiresAfterOneDay() {
+    quarantine.observed(CRASHING_FINGERPRINT, 1, 0);
+    assertInstanceOf(
+        QuarantineDecision.Allow.class, quarantine.check(CRASHING_FINGERPRINT, 25 * HOUR_MILLIS));
   }
 
   @Test
   void memoryIsBounded() {
-    Quarantine small = new Quarantine(new QuarantineSettings(2, HOUR, HOUR, 3));
+    Quarantine small = new Quarantine(new QuarantineSettings(2, HOUR_MILLIS, HOUR_MILLIS, 3));
     for (long fingerprint = 0; fingerprint < 10; fingerprint++) {
       small.observed(fingerprint, 2, fingerprint);
     }
@@ -94,77 +96,85 @@
     assertInstanceOf(QuarantineDecision.Refuse.class, small.check(7, 10));
   }
 
-  // A caller sends one crashing request again and again, at all entries. Copies sent before the
-  // first crash are at one endpoint, by rendezvous hashing, and are lost with it. The agent tells
-  // all entries of the crash; some hear it only after they have asked the table for the row. From
-  // then on a copy runs only for whoever claims the row. However the steps fall, two endpoints are
-  // lost and no third.
+  // A caller keeps retrying a crashing request at all entries. Copies sent before the first crash
+  // run on one endpoint, because of rendezvous hashing, and are lost with it. The agent notifies
+  // all
+  // entries of the crash, some of them only after they have read the row. From then on a copy runs
+  // only for the entry that has claimed the row. In every order of steps at most two endpoints may
+  // crash.
   @Property(seed = "2604", tries = 500)
-  void atMostTwoEndpointsAreLostToOneRequestAcrossEntries(
+  void oneRequestCrashesAtMostTwoEndpointsAcrossEntries(
       @ForAll @Size(max = 200) List<@IntRange(max = 5) Integer> steps) {
     Pool pool = new Pool();
     long now = 0;
     for (int step : steps) {
       now += 100;
-      if (step < ENTRIES) {
+      if (step < ENTRY_COUNT) {
         pool.send(step, now);
       } else {
         pool.crash(now);
       }
-      assertTrue(pool.lostEndpoints <= 2, () -> "lost: " + pool.lostEndpoints);
+      assertTrue(pool.lostEndpoints <= 2, () -> "lost endpoints: " + pool.lostEndpoints);
     }
   }
 
-  /** Entries that share the fingerprint's row: how many endpoints were lost, who runs it now. */
+  /**
+   * Model of several entries and the shared row of the fingerprint, which holds the number of lost
+   * endpoints and the entries that run a copy.
+   */
   private static final class Pool {
     final List<Quarantine> entries = new ArrayList<>();
-    final List<Quarantine> copies = new ArrayList<>();
+    final List<Quarantine> runningCopies = new ArrayList<>();
     int lostEndpoints;
 
     Pool() {
-      for (int i = 0; i < ENTRIES; i++) {
+      for (int i = 0; i < ENTRY_COUNT; i++) {
         entries.add(new Quarantine(QuarantineSettings.DEFAULT));
       }
     }
 
-    void send(int number, long now) {
-      Quarantine entry = entries.get(number);
-      switch (entry.check(POISON, now)) {
+    void send(int entryIndex, long now) {
+      Quarantine entry = entries.get(entryIndex);
+      switch (entry.check(CRASHING_FINGERPRINT, now)) {
         case QuarantineDecision.Allow allow -> start(entry, now);
         case QuarantineDecision.AllowAlone alone -> claimAndStart(entry, now);
         case QuarantineDecision.Refuse refuse -> {}
       }
     }
 
-    /** The compare-and-set fails while another entry runs it, and shows the row's count. */
+    /** Claims the row, which fails while a copy runs; reading it shows the row's crash count. */
     private void claimAndStart(Quarantine entry, long now) {
-      entry.observed(POISON, lostEndpoints, now);
-      boolean allowed = entry.check(POISON, now) instanceof QuarantineDecision.AllowAlone;
-      if (copies.isEmpty() && allowed) {
+      entry.observed(CRASHING_FINGERPRINT, lostEndpoints, now);
+      boolean allowed =
+          entry.check(CRASHING_FINGERPRINT, now) instanceof QuarantineDecision.AllowAlone;
+      if (runningCopies.isEmpty() && allowed) {
         start(entry, now);
       }
     }
 
     private void start(Quarantine entry, long now) {
-      entry.started(POISON, now);
-      copies.add(entry);
+      entry.started(CRASHING_FINGERPRINT, now);
+      runningCopies.add(entry);
     }
 
-    /** The endpoint that runs the copies crashes; only the first of its entries hears the rest. */
+    /**
+     * Crashes the endpoint that runs the copies. Only the first of their entries records it as a
+     * crash of its attempt; then all entries are notified of one crash.
+     */
     void crash(long now) {
-      if (copies.isEmpty()) {
+      if (runningCopies.isEmpty()) {
         return;
       }
       lostEndpoints++;
-      copies.getFirst().crashed(POISON, now);
-      copies.stream().skip(1).forEach(entry -> entry.ended(POISON, now));
-      copies.clear();
-      entries.forEach(entry -> entry.observed(POISON, 1, now));
+      runningCopies.getFirst().crashed(CRASHING_FINGERPRINT, now);
+      runningCopies.stream().skip(1).forEach(entry -> entry.ended(CRASHING_FINGERPRINT, now));
+      runningCopies.clear();
+      entries.forEach(entry -> entry.observed(CRASHING_FINGERPRINT, 1, now));
     }
   }
 
   @Test
-  void fingerprintDependsOnEveryPartAndOnNothingElse() {
+  void fingerprintDependsOnEveryFieldAndOnNothingElse() {
     long one = fingerprint("service", "model", "prompt", Map.of("max_tokens", "9"));
     assertEquals(one, fingerprint("service", "model", "prompt", Map.of("max_tokens", "9")));
     assertNotEquals(one, fingerprint("service", "model", "prompt", Map.of("max_tokens", "8")));
@@ -178,7 +188,7 @@
   }
 
   private void assertRefused(FailureType type, long now) {
-    QuarantineDecision decision = quarantine.check(POISON, now);
+    QuarantineDecision decision = quarantine.check(CRASHING_FINGERPRINT, now);
     assertEquals(type, assertInstanceOf(QuarantineDecision.Refuse.class, decision).type());
   }
 }
