--- a/runtime/src/main/java/org/hornbeamusher/suspects/SuspectClaim.java
+++ b/runtime/src/main/java/org/hornbeamusher/suspects/SuspectClaim.java
@@ -2,18 +2,18 @@
 
 import org.hornbeamusher.failure.FailureType;
 
-/** Whether a suspect may run now, as the table says. */
+/** The result of claiming the row of a suspect: whether the suspect may run now. */
 public sealed interface SuspectClaim {
 
-  /** Nobody else runs it, and nobody will until it is ended or its time is over. */
+  /** It may run; no other entry runs it until the run is reported as ended or its time is up. */
   record Granted() implements SuspectClaim {}
 
   /**
    * It must not run.
    *
-   * @param type {@link FailureType#QUARANTINED}, or {@link FailureType#SUSPECT_RUNNING} also when
-   *     the table does not answer
-   * @param crashes crashes that the table knows of, 0 when it does not answer
+   * @param type {@link FailureType#QUARANTINED}, or {@link FailureType#SUSPECT_RUNNING}, which is
+   *     also used when the table does not respond
+   * @param crashes number of crashes recorded in the table; 0 when it does not respond
    */
   record Refused(FailureType type, int crashes) implements SuspectClaim {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/suspects/SuspectRow.java
+++ b/runtime/src/main/java/org/hornbeamusher/suspects/SuspectRow.java
@@ -9,21 +9,22 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 
 /**
- * The row of one suspect.
+ * The table row of one suspect.
  *
- * @param crashes endpoints that crashed while they ran it
- * @param lastCrashMillis when the latest did
- * @param runningUntilMillis until when one entry alone may run it; 0 when none does
+ * @param crashes number of endpoints that crashed while running it
+ * @param lastCrashMillis time of the last crash, in milliseconds
+ * @param runningUntilMillis time until which one entry has the exclusive right to run it; 0 when
+ *     none has
  */
 record SuspectRow(int crashes, long lastCrashMillis, long runningUntilMillis) {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  SuspectRow crashedAt(long now) {
+  SuspectRow withCrashAt(long now) {
     return new SuspectRow(crashes + 1, now, 0);
   }
 
-  SuspectRow runningUntil(long millis) {
+  SuspectRow withRunningUntil(long millis) {
     return new SuspectRow(crashes, lastCrashMillis, millis);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/suspects/SuspectRows.java
+++ b/runtime/src/main/java/org/hornbeamusher/suspects/SuspectRows.java
@@ -16,33 +16,36 @@
 import org.hornbeamusher.table.Transaction;
 
 /**
- * What all entries together know of requests that were running when endpoints crashed.
+ * Stores in the platform's table the requests that were running when endpoints crashed, shared by
+ * all entries.
  *
- * <p>{@link Quarantine} says why: a notice of a crash may be lost, and two entries that each allow
- * one more run would lose two more endpoints. The row is read and written by compare-and-set before
- * a suspect is dispatched; only suspects pay for it, and crashes are rare. A row older than the
- * quarantine counts as absent and is overwritten by the next crash.
+ * <p>A notification of a crash may be lost, and two entries that each allow one more run would lose
+ * two more endpoints (see {@link Quarantine}). Therefore the row is read and updated by
+ * compare-and-set before a suspect is dispatched. Only suspects pay this cost, and crashes are
+ * rare. A row whose last crash is older than the quarantine period counts as absent and is
+ * overwritten by the next crash.
  */
 public final class SuspectRows {
 
   private static final String TABLE = "suspects";
 
   /**
-   * Rounds against entries that write the same row; more would mean a row under constant change.
+   * Maximum commit attempts while other entries write the same row; more would mean that the row
+   * changes constantly.
    */
-  private static final int MAXIMUM_ROUNDS = 4;
+  private static final int MAXIMUM_COMMIT_ATTEMPTS = 4;
 
-  private static final SuspectRow NONE = new SuspectRow(0, 0, 0);
+  private static final SuspectRow NO_CRASHES = new SuspectRow(0, 0, 0);
 
   private final Table table;
   private final QuarantineSettings settings;
   private final Clock clock;
 
   /**
-   * Creates a client of the rows.
+   * Creates a store.
    *
    * @param table the platform's table
-   * @param settings how long crashes count
+   * @param settings crash limit and quarantine period
    * @param clock the clock
    */
   public SuspectRows(Table table, QuarantineSettings settings, Clock clock) {
@@ -52,49 +55,49 @@
   }
 
   /**
-   * Asks to run a suspect alone.
+   * Claims the exclusive right to run a suspect.
    *
-   * @param fingerprint the suspect
-   * @param untilMillis the request's deadline; after it another entry may run the suspect
-   * @return never fails; with the table down the suspect is refused
+   * @param fingerprint the suspect's fingerprint
+   * @param untilMillis the request's deadline, after which another entry may run the suspect
+   * @return never fails; the suspect is refused while the table is down
    */
   public CompletableFuture<SuspectClaim> begin(long fingerprint, long untilMillis) {
     return table
         .read(key(fingerprint))
-        .thenCompose(row -> claim(fingerprint, row, untilMillis))
+        .thenCompose(row -> claimRow(fingerprint, row, untilMillis))
         .exceptionally(thrown -> new SuspectClaim.Refused(FailureType.SUSPECT_RUNNING, 0));
   }
 
   /**
-   * Records a crash during a run.
+   * Records a crash during a run, which also ends the run.
    *
-   * @param fingerprint the suspect
-   * @return completes with the crashes known now; fails while the table is down
+   * @param fingerprint the suspect's fingerprint
+   * @return completes with the new number of crashes; fails while the table is down
    */
   public CompletableFuture<Integer> crashed(long fingerprint) {
-    return update(fingerprint, row -> row.crashedAt(clock.millis()), 1);
+    return update(fingerprint, row -> row.withCrashAt(clock.millis()), 1);
   }
 
   /**
-   * Records that a run ended without a crash.
+   * Records that a run ended without a crash, so that the suspect may run again.
    *
-   * @param fingerprint the suspect
-   * @return completes when the suspect may run again; fails while the table is down
+   * @param fingerprint the suspect's fingerprint
+   * @return completes with the number of known crashes; fails while the table is down
    */
   public CompletableFuture<Integer> ended(long fingerprint) {
-    return update(fingerprint, row -> row.runningUntil(0), 1);
+    return update(fingerprint, row -> row.withRunningUntil(0), 1);
   }
 
-  private CompletableFuture<SuspectClaim> claim(
+  private CompletableFuture<SuspectClaim> claimRow(
       long fingerprint, Optional<Row> found, long untilMillis) {
-    SuspectRow row = current(found);
+    SuspectRow row = currentRow(found);
     if (row.crashes() >= settings.crashLimit()) {
       return refused(FailureType.QUARANTINED, row);
     }
     if (row.runningUntilMillis() > clock.millis()) {
       return refused(FailureType.SUSPECT_RUNNING, row);
     }
-    return put(fingerprint, found, row.runningUntil(untilMillis))
+    return put(fingerprint, found, row.withRunningUntil(untilMillis))
         .thenApply(
             result ->
                 switch (result) {
@@ -105,26 +108,27 @@
   }
 
   private CompletableFuture<Integer> update(
-      long fingerprint, UnaryOperator<SuspectRow> change, int round) {
+      long fingerprint, UnaryOperator<SuspectRow> change, int commitAttempt) {
     return table
         .read(key(fingerprint))
         .thenCompose(
             found -> {
-              SuspectRow changed = change.apply(current(found));
+              SuspectRow changed = change.apply(currentRow(found));
               return put(fingerprint, found, changed)
-                  .thenCompose(result -> settled(result, fingerprint, change, changed, round));
+                  .thenCompose(
+                      result -> afterCommit(result, fingerprint, change, changed, commitAttempt));
             });
   }
 
-  private CompletableFuture<Integer> settled(
+  private CompletableFuture<Integer> afterCommit(
       CommitResult result,
       long fingerprint,
       UnaryOperator<SuspectRow> change,
       SuspectRow changed,
-      int round) {
+      int commitAttempt) {
     return switch (result) {
-      case CommitResult.Conflict conflict when round < MAXIMUM_ROUNDS ->
-          update(fingerprint, change, round + 1);
+      case CommitResult.Conflict conflict when commitAttempt < MAXIMUM_COMMIT_ATTEMPTS ->
+          update(fingerprint, change, commitAttempt + 1);
       default -> CompletableFuture.completedFuture(changed.crashes());
     };
   }
@@ -141,11 +145,11 @@
         new Transaction(List.of(condition), List.of(new Transaction.Write.Put(key, row.encode()))));
   }
 
-  private SuspectRow current(Optional<Row> found) {
+  private SuspectRow currentRow(Optional<Row> found) {
     return found
         .map(row -> SuspectRow.decode(row.value()))
         .filter(row -> row.lastCrashMillis() + settings.quarantineMillis() > clock.millis())
-        .orElse(NONE);
+        .orElse(NO_CRASHES);
   }
 
   private static CompletableFuture<SuspectClaim> refused(FailureType type, SuspectRow row) {
--- a/runtime/src/main/java/org/hornbeamusher/suspects/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/suspects/package-info.java
@@ -1,2 +1,2 @@
-/** The rows in which all entries together keep what crashed endpoints, for the quarantine. */
+/** Shared storage, for the quarantine, of the requests that were running at endpoint crashes. */
 package org.hornbeamusher.suspects;
--- a/runtime/src/test/java/org/hornbeamusher/suspects/SuspectRowsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/suspects/SuspectRowsTest.java
@@ -14,58 +14,58 @@
   private static final long FINGERPRINT = 0x1234L;
   private final ManualClock clock = new ManualClock(1_000_000);
   private final MemoryTable table = new MemoryTable();
-  private final SuspectRows one = new SuspectRows(table, QuarantineSettings.DEFAULT, clock);
-  private final SuspectRows other = new SuspectRows(table, QuarantineSettings.DEFAULT, clock);
+  private final SuspectRows firstEntry = new SuspectRows(table, QuarantineSettings.DEFAULT, clock);
+  private final SuspectRows secondEntry = new SuspectRows(table, QuarantineSettings.DEFAULT, clock);
 
   /**
-   * Two entries that both know of the first crash are sent the request again at once. Only one may
-   * run it; the other's caller is told that it runs.
+   * The request is retried at two entries at once that both know of its first crash. Guards against
+   * both running it; the second must report that it is running.
    */
   @Test
-  void suspectsRunAtOneEntryOnly() {
-    one.crashed(FINGERPRINT).join();
+  void suspectRunsAtOnlyOneEntry() {
+    firstEntry.crashed(FINGERPRINT).join();
     long until = clock.millis() + 5_000;
 
-    assertInstanceOf(SuspectClaim.Granted.class, one.begin(FINGERPRINT, until).join());
+    assertInstanceOf(SuspectClaim.Granted.class, firstEntry.begin(FINGERPRINT, until).join());
     assertEquals(
         new SuspectClaim.Refused(FailureType.SUSPECT_RUNNING, 1),
-        other.begin(FINGERPRINT, until).join());
+        secondEntry.begin(FINGERPRINT, until).join());
 
-    one.ended(FINGERPRINT).join();
-    assertInstanceOf(SuspectClaim.Granted.class, other.begin(FINGERPRINT, until).join());
+    firstEntry.ended(FINGERPRINT).join();
+    assertInstanceOf(SuspectClaim.Granted.class, secondEntry.begin(FINGERPRINT, until).join());
   }
 
-  /** The notice of the second crash is lost; the row still keeps a third endpoint from it. */
+  /** Without a notification of the second crash, the row must prevent a run on a third endpoint. */
   @Test
-  void theSecondCrashIsKnownEverywhere() {
-    one.crashed(FINGERPRINT).join();
-    other.crashed(FINGERPRINT).join();
+  void secondCrashIsKnownToAllEntries() {
+    firstEntry.crashed(FINGERPRINT).join();
+    secondEntry.crashed(FINGERPRINT).join();
 
     assertEquals(
         new SuspectClaim.Refused(FailureType.QUARANTINED, 2),
-        one.begin(FINGERPRINT, clock.millis() + 5_000).join());
+        firstEntry.begin(FINGERPRINT, clock.millis() + 5_000).join());
   }
 
-  /** The entry that ran a suspect is gone; after the request's deadline another may run it. */
+  /** The entry that ran a suspect has died; after the request's deadline another may run it. */
   @Test
-  void runsEndWithTheirDeadline() {
-    one.crashed(FINGERPRINT).join();
-    one.begin(FINGERPRINT, clock.millis() + 5_000).join();
+  void rightToRunExpiresAtTheDeadline() {
+    firstEntry.crashed(FINGERPRINT).join();
+    firstEntry.begin(FINGERPRINT, clock.millis() + 5_000).join();
 
     clock.advance(5_000);
 
     assertInstanceOf(
-        SuspectClaim.Granted.class, other.begin(FINGERPRINT, clock.millis() + 5_000).join());
+        SuspectClaim.Granted.class, secondEntry.begin(FINGERPRINT, clock.millis() + 5_000).join());
   }
 
   @Test
-  void crashesAreForgottenAfterTheQuarantine() {
-    one.crashed(FINGERPRINT).join();
-    one.crashed(FINGERPRINT).join();
+  void crashesExpireAfterTheQuarantinePeriod() {
+    firstEntry.crashed(FINGERPRINT).join();
+    firstEntry.crashed(FINGERPRINT).join();
 
     clock.advance(QuarantineSettings.DEFAULT.quarantineMillis());
 
     assertInstanceOf(
-        SuspectClaim.Granted.class, one.begin(FINGERPRINT, clock.millis() + 5_000).join());
+        SuspectClaim.Granted.class, firstEntry.begin(FINGERPRINT, clock.millis() + 5_000).join());
   }
 }
