--- a/runtime/src/main/java/org/hornbeamusher/lease/FencingLease.java
+++ b/runtime/src/main/java/org/hornbeamusher/lease/FencingLease.java
@@ -15,31 +15,35 @@
 import org.hornbeamusher.table.Transaction;
 
 /**
- * Gives an agent the fencing number of its orders.
+ * Allocates the fencing number that an agent puts into its orders to the engine.
  *
- * <p>The number is above every number that an earlier agent of the endpoint was given. An engine
- * that honours it refuses the orders of a predecessor that was paused and wakes up; the predecessor
- * learns from that refusal that it was replaced. There is no term that could lapse while its holder
- * is paused: whoever holds the highest number is the agent, and holding it longer does no harm,
- * because a successor takes a higher one without asking.
+ * <p>The number is read from the endpoint's row and incremented by compare-and-set, so it is higher
+ * than every number allocated to an earlier agent of the endpoint. An engine that checks it refuses
+ * the orders of a predecessor that resumes after a pause, and the predecessor learns from the
+ * refusal that it was replaced. The number does not expire, so it cannot lapse while its holder is
+ * paused: the holder of the highest number is the current agent. Holding a number longer does no
+ * harm, because a successor allocates a higher one without the holder's consent.
  *
- * <p>Example: the row says 4 and the engine has seen 6 from an agent that started during an outage.
- * The new agent writes 7. A second one that starts at the same moment loses the compare-and-set,
- * reads 7 and writes 8; the first one's next order is refused.
+ * <p>Example: the row holds 4, and the engine has seen 6 from an agent that started during an
+ * outage of the table. The new agent writes 7. Another agent that starts at the same moment fails
+ * its compare-and-set, reads 7 and writes 8; the next order of the first agent is refused.
  *
- * <p>With the table down the agent goes on with one above what the engine has seen, because loads
- * must go on, and asks the table again later.
+ * <p>While the table is down, the agent uses the number after the highest that the engine has seen,
+ * because loads must continue, and retries the table later.
  *
- * <p>Rejected: the time at which an agent started, which a clock that steps back can repeat, and a
- * lease with a term, which adds a renewal for each of 1,400 agents to the table's few hundred
- * writes a second and protects no better.
+ * <p>Rejected: the start time of the agent, which can repeat when the clock is set back; and a
+ * lease with an expiry, which would add renewals by 1,400 agents to the table's few hundred writes
+ * per second without protecting better.
  */
 public final class FencingLease {
 
   private static final String TABLE = "fencing";
 
-  /** More rounds would mean that agents of one endpoint start faster than rows are written. */
-  private static final int MAXIMUM_ROUNDS = 5;
+  /**
+   * Maximum commit attempts; more would mean that agents of one endpoint start faster than rows are
+   * written.
+   */
+  private static final int MAXIMUM_COMMIT_ATTEMPTS = 5;
 
   private static final String SEPARATOR = " ";
 
@@ -48,11 +52,11 @@
   private final String holder;
 
   /**
-   * Creates a lease that is not acquired.
+   * Creates an allocator for one agent.
    *
    * @param table the platform's table
-   * @param endpoint the endpoint whose orders are numbered
-   * @param holder tells this process from every other
+   * @param endpoint the endpoint that the orders are for
+   * @param holder unique id of this process
    */
   public FencingLease(Table table, EndpointId endpoint, String holder) {
     this.table = table;
@@ -61,43 +65,48 @@
   }
 
   /**
-   * Takes a number.
+   * Allocates a number, or returns the one this process has already allocated if the engine has not
+   * seen it or a higher one.
    *
-   * @param seenByEngine the highest number the engine has seen; 0 for none
-   * @return the number; fails while the table does not answer
+   * @param seenByEngine the highest number that the engine has seen; 0 for none
+   * @return the number; fails while the table does not respond
    */
   public CompletableFuture<FencingNumber> acquire(long seenByEngine) {
-    return round(seenByEngine, 1);
+    return tryAcquire(seenByEngine, 1);
   }
 
-  private CompletableFuture<FencingNumber> round(long seenByEngine, int number) {
-    return table.read(key).thenCompose(row -> take(row, seenByEngine, number));
+  private CompletableFuture<FencingNumber> tryAcquire(long seenByEngine, int commitAttempt) {
+    return table.read(key).thenCompose(row -> allocate(row, seenByEngine, commitAttempt));
   }
 
-  private CompletableFuture<FencingNumber> take(
-      Optional<Row> found, long seenByEngine, int number) {
-    long highest = found.map(FencingLease::numberOf).orElse(0L);
-    if (found.filter(this::isOwn).isPresent() && highest > seenByEngine) {
-      // The write of an earlier round took effect although its answer was lost.
+  private CompletableFuture<FencingNumber> allocate(
+      Optional<Row> found, long seenByEngine, int commitAttempt) {
+    long highest = found.map(FencingLease::parseNumber).orElse(0L);
+    if (found.filter(this::isHeldByThisProcess).isPresent() && highest > seenByEngine) {
+      // An earlier write took effect although its response was lost.
       return CompletableFuture.completedFuture(new FencingNumber(highest));
     }
     FencingNumber next = new FencingNumber(Math.max(highest, seenByEngine) + 1);
     return table
-        .commit(write(found, next))
-        .handle((result, thrown) -> settle(result, thrown, next, seenByEngine, number))
+        .commit(putIfUnchanged(found, next))
+        .handle((result, thrown) -> afterCommit(result, thrown, next, seenByEngine, commitAttempt))
         .thenCompose(settled -> settled);
   }
 
-  private CompletableFuture<FencingNumber> settle(
-      CommitResult result, Throwable thrown, FencingNumber next, long seenByEngine, int number) {
+  private CompletableFuture<FencingNumber> afterCommit(
+      CommitResult result,
+      Throwable thrown,
+      FencingNumber next,
+      long seenByEngine,
+      int commitAttempt) {
     if (result instanceof CommitResult.Committed) {
       return CompletableFuture.completedFuture(next);
     }
-    boolean again =
+    boolean retryable =
         thrown == null
             || HornbeamusherException.from(thrown).type() == FailureType.PLATFORM_ANSWER_LOST;
-    if (again && number < MAXIMUM_ROUNDS) {
-      return round(seenByEngine, number + 1);
+    if (retryable && commitAttempt < MAXIMUM_COMMIT_ATTEMPTS) {
+      return tryAcquire(seenByEngine, commitAttempt + 1);
     }
     return CompletableFuture.failedFuture(
         thrown == null
@@ -105,7 +114,7 @@
             : HornbeamusherException.from(thrown));
   }
 
-  private Transaction write(Optional<Row> found, FencingNumber next) {
+  private Transaction putIfUnchanged(Optional<Row> found, FencingNumber next) {
     Transaction.Condition condition =
         found
             .<Transaction.Condition>map(
@@ -115,11 +124,11 @@
     return new Transaction(List.of(condition), List.of(new Transaction.Write.Put(key, value)));
   }
 
-  private boolean isOwn(Row row) {
+  private boolean isHeldByThisProcess(Row row) {
     return text(row).endsWith(SEPARATOR + holder);
   }
 
-  private static long numberOf(Row row) {
+  private static long parseNumber(Row row) {
     String text = text(row);
     try {
       return Long.parseLong(text.substring(0, Math.max(0, text.indexOf(SEPARATOR))));
--- a/runtime/src/main/java/org/hornbeamusher/lease/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/lease/package-info.java
@@ -1,2 +1,2 @@
-/** The row from which the successive agents of one endpoint take rising fencing numbers. */
+/** Allocation of increasing fencing numbers to the successive agents of an endpoint. */
 package org.hornbeamusher.lease;
--- a/runtime/src/test/java/org/hornbeamusher/lease/FencingLeaseTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/lease/FencingLeaseTest.java
@@ -15,40 +15,40 @@
   private final MemoryTable table = new MemoryTable();
 
   @Test
-  void numbersRiseFromAgentToAgent() {
+  void numbersIncreaseFromAgentToAgent() {
     assertEquals(1, acquire("one", 0));
     assertEquals(2, acquire("two", 1));
     assertEquals(3, acquire("three", 0));
   }
 
   /**
-   * An agent started while the table was down and went on above what the engine had seen. The row
-   * does not know its number; the next agent must still get a higher one.
+   * An agent that started while the table was down used a number that is not in the row. The next
+   * agent must still get a higher one.
    */
   @Test
-  void numbersUsedDuringAnOutageAreNotGivenAgain() {
+  void numbersUsedDuringAnOutageAreNotReused() {
     acquire("one", 0);
     assertEquals(7, acquire("two", 6));
   }
 
-  /** Two agents of one endpoint start at once; the second reads what the first wrote. */
+  /** Guards against the same number for two agents of one endpoint that start at once. */
   @Test
   void agentsThatStartTogetherGetDifferentNumbers() {
     table.beforeNextCommit(() -> acquire("other", 0));
     assertEquals(2, acquire("one", 0));
   }
 
-  /** The answer to the write is lost after it took effect; no number is skipped or taken twice. */
+  /** The response to a write that took effect is lost; no number may be skipped or reused. */
   @Test
-  void lostAnswersAreSettledByReadingBack() {
+  void lostResponsesAreResolvedByReadingBack() {
     table.loseAnswers(1);
     assertEquals(1, acquire("one", 0));
     assertEquals(2, acquire("two", 0));
   }
 
-  /** The table is down; the agent is told so and goes on without it. */
+  /** The agent continues without the table, so it must be able to recognise an outage. */
   @Test
-  void outagesFailTyped() {
+  void outageFailsAsPlatformUnavailable() {
     table.down(true);
     HornbeamusherException failure =
         HornbeamusherException.from(
