--- a/runtime/src/main/java/org/hornbeamusher/membership/ConnectionPlan.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/ConnectionPlan.java
@@ -10,43 +10,43 @@
 import org.hornbeamusher.ids.AvailabilityZone;
 
 /**
- * Decides which agents an entry connects to.
+ * Chooses the agents that an entry connects to.
  *
- * <p>With few agents, all of them. At 400 entries and 1,400 agents a full mesh would be 560,000
- * connections, and the heartbeats of 1,400 connections alone would take a node some 100 KB a second
- * of the 17 it may spend. So beyond {@link #FULL_MESH_LIMIT} agents an entry connects to those of
- * its own availability zone and to {@link #BEYOND} of every other zone, which it reaches when its
- * own zone is full or has lost its agents.
+ * <p>Up to {@link #FULL_MESH_LIMIT} agents an entry connects to all of them. With 400 entries and
+ * 1,400 agents a full mesh would have 560,000 connections, and the heartbeats of 1,400 connections
+ * alone would use about 100 KB/s on a node whose budget is 17 KB/s. So with more agents an entry
+ * connects to those of its own availability zone and to {@link #AGENTS_PER_OTHER_ZONE} of every
+ * other zone, to which it sends requests when its own zone is full or has lost its agents.
  *
- * <p>The few of another zone are the first by rendezvous hashing (Thaler and Ravishankar, 1998)
- * over the entry's id and the agent's address. So they are spread over the entries without anybody
- * talking, every agent is chosen by about the same number of entries, and when an agent goes only
- * the entries that had chosen it choose another one.
+ * <p>The agents of another zone are the first in a rendezvous hashing order (Thaler and
+ * Ravishankar, 1998) over the entry's id and the agent's address. So they are distributed over the
+ * entries without coordination, every agent is chosen by about the same number of entries, and when
+ * an agent leaves, only the entries that had chosen it choose another one.
  */
 public final class ConnectionPlan {
 
-  /** Up to this many agents an entry connects to all: 64 heartbeats a second are 5 KB. */
+  /** Maximum agents for a full mesh; 64 heartbeats per second take 5 KB/s. */
   public static final int FULL_MESH_LIMIT = 64;
 
-  /** Agents of each other zone. One may be lost while the other still gives a way out. */
-  public static final int BEYOND = 2;
+  /** Agents chosen in each other zone; when one is lost, the zone is reached by the other. */
+  public static final int AGENTS_PER_OTHER_ZONE = 2;
 
   private ConnectionPlan() {}
 
   /**
-   * An agent as the list shows it.
+   * An agent in the platform's list.
    *
-   * @param address where it listens
-   * @param zone where it runs
+   * @param address the address on which it listens
+   * @param zone its availability zone
    */
   public record Place(String address, AvailabilityZone zone) {}
 
   /**
-   * Chooses.
+   * Chooses the agents that an entry connects to.
    *
    * @param entry the entry's instance id
    * @param zone the entry's availability zone
-   * @param agents every agent of the list
+   * @param agents all agents in the platform's list
    * @return the addresses to connect to
    */
   public static Set<String> choose(String entry, AvailabilityZone zone, Collection<Place> agents) {
@@ -57,10 +57,10 @@
         agents.stream().collect(Collectors.groupingBy(Place::zone));
     Set<String> chosen = new TreeSet<>();
     byZone.forEach(
-        (other, places) ->
-            places.stream()
-                .sorted(Comparator.comparingLong(place -> rank(entry, place.address())))
-                .limit(other.equals(zone) ? Integer.MAX_VALUE : BEYOND)
+        (agentZone, agentsInZone) ->
+            agentsInZone.stream()
+                .sorted(Comparator.comparingLong(agent -> rank(entry, agent.address())))
+                .limit(agentZone.equals(zone) ? Integer.MAX_VALUE : AGENTS_PER_OTHER_ZONE)
                 .map(Place::address)
                 .forEach(chosen::add));
     return chosen;
--- a/runtime/src/main/java/org/hornbeamusher/membership/HeartbeatMonitor.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/HeartbeatMonitor.java
@@ -1,75 +1,75 @@
 package org.hornbeamusher.membership;
 
 /**
- * Decides whether the other end of a connection is silent.
+ * Detects by heartbeats that the peer of a connection is unreachable.
  *
- * <p>Now and then something between two processes loses track of a connection: nothing sent on it
- * arrives any more, neither end is told, and new connections work. TCP alone notices after many
- * minutes, and until then every request sent there waits for nothing. So both ends send a heartbeat
- * every interval, and a connection on which nothing came for {@code missedLimit} intervals is
- * abandoned.
+ * <p>Sometimes a network element between two processes drops the state of a connection: nothing
+ * sent on it arrives any more, neither end is notified, and new connections work. TCP alone detects
+ * this after many minutes, during which every request sent on the connection waits in vain. So both
+ * ends send a heartbeat in every interval, and a connection on which nothing was received for
+ * {@code missedLimit} intervals is abandoned.
  *
- * <p>A process that was itself paused has read nothing either. Were the pause taken for silence, it
- * would abandon all its connections at once on waking up, though their messages wait in its
- * sockets. {@link #silent} is therefore called every interval, and when its own calls lie too far
- * apart, the other end is given one more interval.
+ * <p>A process that was itself paused has received nothing either. If its pause counted as silence
+ * of the peers, it would abandon all its connections when it resumes, although their messages are
+ * waiting in its socket buffers. Therefore {@link #silent} is called in every interval, and when
+ * the time between two calls is too long, the peer gets one more interval.
  *
- * <p>Not safe for use by several threads at once.
+ * <p>Not thread-safe.
  */
 public final class HeartbeatMonitor {
 
   private final long intervalMillis;
-  private final long silenceMillis;
-  private long receivedMillis;
-  private long checkedMillis;
+  private final long timeoutMillis;
+  private long lastReceivedMillis;
+  private long lastCheckedMillis;
 
   /**
-   * Creates a monitor of a connection that was opened just now.
+   * Creates a monitor for a connection that has just been opened.
    *
-   * @param intervalMillis time between two heartbeats of the other end
-   * @param missedLimit after how many missing heartbeats it is silent; at least 2
-   * @param now milliseconds
+   * @param intervalMillis time between two heartbeats of the peer
+   * @param missedLimit number of missed heartbeats after which the peer is unreachable; at least 2
+   * @param now current time in milliseconds
    */
   public HeartbeatMonitor(long intervalMillis, int missedLimit, long now) {
     this.intervalMillis = intervalMillis;
-    this.silenceMillis = intervalMillis * missedLimit;
-    this.receivedMillis = now;
-    this.checkedMillis = now;
+    this.timeoutMillis = intervalMillis * missedLimit;
+    this.lastReceivedMillis = now;
+    this.lastCheckedMillis = now;
   }
 
   /**
-   * Records that any message came.
+   * Records that a message was received, of any type.
    *
-   * @param now milliseconds
+   * @param now current time in milliseconds
    */
   public void received(long now) {
-    receivedMillis = now;
+    lastReceivedMillis = now;
   }
 
   /**
-   * Decides whether the connection is to be abandoned; called every interval.
+   * Decides whether the connection must be abandoned; to be called in every interval.
    *
-   * @param now milliseconds
-   * @return whether nothing came for as many intervals as the limit allows
+   * @param now current time in milliseconds
+   * @return whether nothing was received for {@code missedLimit} intervals
    */
   public boolean silent(long now) {
-    boolean paused = now - checkedMillis >= silenceMillis;
-    boolean steppedBack = now < receivedMillis;
-    checkedMillis = now;
-    if (paused || steppedBack) {
-      receivedMillis =
-          Math.max(now - silenceMillis + intervalMillis, Math.min(receivedMillis, now));
+    boolean paused = now - lastCheckedMillis >= timeoutMillis;
+    boolean clockSetBack = now < lastReceivedMillis;
+    lastCheckedMillis = now;
+    if (paused || clockSetBack) {
+      lastReceivedMillis =
+          Math.max(now - timeoutMillis + intervalMillis, Math.min(lastReceivedMillis, now));
     }
-    return now - receivedMillis >= silenceMillis;
+    return now - lastReceivedMillis >= timeoutMillis;
   }
 
   /**
-   * Returns for how long nothing came.
+   * Returns the time since the last message was received.
    *
-   * @param now milliseconds
-   * @return milliseconds
+   * @param now current time in milliseconds
+   * @return the time in milliseconds, never negative
    */
   public long silentMillis(long now) {
-    return Math.max(0, now - receivedMillis);
+    return Math.max(0, now - lastReceivedMillis);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/membership/PeerCount.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/PeerCount.java
@@ -4,54 +4,56 @@
 import java.util.OptionalInt;
 
 /**
- * How many peers share something, by counts that may miss some of them.
+ * The number of peers among which a resource is divided: the maximum of the counts in a sliding
+ * window.
  *
- * <p>A list lacks peers whose entries lapsed, and who is cut off counts only those it reaches. A
- * share of what is left would be too large then. So the most of the last counts is used, and while
- * there are no counts at all, the last one holds: a process that receives none is cut off itself.
+ * <p>A single count may be too low: a list lacks peers whose entries have expired, and a process
+ * cut off by a network partition counts only the peers that it reaches. The share per peer would
+ * then be too large. So the maximum of the recent counts is used. While no counts arrive, the last
+ * result remains valid, because a process that receives none is cut off itself.
  *
- * <p>Not safe for use by several threads at once.
+ * <p>Not thread-safe.
  */
 public final class PeerCount {
 
   private final long windowMillis;
 
-  /** Falling counts, the oldest first. */
-  private final ArrayDeque<Count> counts = new ArrayDeque<>();
+  /** Counts that may become the maximum, in decreasing order and the oldest first. */
+  private final ArrayDeque<Sample> samples = new ArrayDeque<>();
 
   /**
-   * Creates a counter that knows no count.
+   * Creates an instance without counts.
    *
-   * @param windowMillis for how long before the last count a larger one holds
+   * @param windowMillis length of the window, which ends at the last count
    */
   public PeerCount(long windowMillis) {
     this.windowMillis = windowMillis;
   }
 
   /**
-   * Takes a count.
+   * Records a count.
    *
-   * @param peers how many were seen
-   * @param now milliseconds
+   * @param peers number of peers counted
+   * @param now current time in milliseconds
    */
   public void counted(int peers, long now) {
-    while (!counts.isEmpty() && counts.peekLast().peers <= peers) {
-      counts.removeLast();
+    while (!samples.isEmpty() && samples.peekLast().peers <= peers) {
+      samples.removeLast();
     }
-    counts.addLast(new Count(peers, now));
-    while (now - counts.peekFirst().millis > windowMillis) {
-      counts.removeFirst();
+    samples.addLast(new Sample(peers, now));
+    while (now - samples.peekFirst().millis > windowMillis) {
+      samples.removeFirst();
     }
   }
 
   /**
-   * Returns how many peers there are.
+   * Returns the maximum of the counts in the window.
    *
-   * @return empty before the first count
+   * @return the number of peers, or empty before the first count
    */
   public OptionalInt most() {
-    return counts.isEmpty() ? OptionalInt.empty() : OptionalInt.of(counts.peekFirst().peers);
+    return samples.isEmpty() ? OptionalInt.empty() : OptionalInt.of(samples.peekFirst().peers);
   }
 
-  private record Count(int peers, long millis) {}
+  private record Sample(int peers, long millis) {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/membership/PeerEvent.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/PeerEvent.java
@@ -2,43 +2,43 @@
 
 import org.hornbeamusher.ids.Incarnation;
 
-/** What a change in {@link PeerTable} means for its owner. */
+/** An event by which {@link PeerTable} tells its owner what to do. */
 public sealed interface PeerEvent {
 
   /**
-   * The peer's address.
+   * Returns the peer's address.
    *
-   * @return where it listens
+   * @return the address on which it listens
    */
   String address();
 
   /**
-   * Open a connection.
+   * A connection to the peer must be opened.
    *
-   * @param address where to
+   * @param address the peer's address
    */
   record Connect(String address) implements PeerEvent {}
 
   /**
-   * The peer takes work.
+   * The peer accepts new requests.
    *
-   * @param address the peer
-   * @param incarnation the process that takes it
+   * @param address the peer's address
+   * @param incarnation the process that accepts them
    */
   record Joined(String address, Incarnation incarnation) implements PeerEvent {}
 
   /**
-   * Send nothing new; what it runs goes on.
+   * The peer is leaving: no new requests may be sent to it, but running ones continue.
    *
-   * @param address the peer
+   * @param address the peer's address
    * @param incarnation the process that is leaving
    */
   record Leaving(String address, Incarnation incarnation) implements PeerEvent {}
 
   /**
-   * The process is gone or cannot be heard; settle its attempts.
+   * The process has ended or is unreachable; the outcome of its attempts must be determined.
    *
-   * @param address the peer
+   * @param address the peer's address
    * @param incarnation the process that is lost
    */
   record Lost(String address, Incarnation incarnation) implements PeerEvent {}
--- a/runtime/src/main/java/org/hornbeamusher/membership/PeerTable.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/PeerTable.java
@@ -12,109 +12,114 @@
 import org.hornbeamusher.ids.Incarnation;
 
 /**
- * What one process knows about its peers, from two sources that disagree now and then.
+ * The state of one process's peers, merged from two sources that may contradict each other.
  *
- * <p>The platform's list says where peers are. It lags: it shows instances that are gone, lacks new
- * ones, and may be unavailable for long. The peer's own word, on a connection to it, says which
- * process is there and whether it is leaving. The rules:
+ * <p>The platform's list contains the addresses of the peers. It may be out of date, so that it
+ * contains instances that no longer exist and lacks new ones, or unavailable for a long time. The
+ * peer's own messages, on a connection to it, identify the process and report whether it is
+ * leaving. The sources are merged by these rules:
  *
  * <ul>
- *   <li>A peer takes work once it has introduced itself, whether or not the list still shows it. A
- *       list that is down or late takes no working peer away.
- *   <li>Leaving is believed from whoever says it first, the peer or the list, and is never taken
- *       back for that process. Without the list's word, a drain that the peer was not told of would
- *       cut requests; without the peer's, a drain would take as long as the list lags.
- *   <li>A word applies to the process that said it. Instances are replaced at the same address, so
- *       a process is told by its incarnation, which it draws when it starts, and the list's word by
- *       the platform's instance id. Neither the predecessor's leaving nor the loss of a connection
- *       to it harms the replacement.
- *   <li>Of two introductions at one address, the one on the connection opened later counts. The
- *       other may be a message that was under way for long.
+ *   <li>A peer accepts requests from its hello message on, whether or not the list still contains
+ *       it. A list that is unavailable or out of date does not remove a working peer.
+ *   <li>A process is leaving as soon as either the peer or the list says so, and it remains
+ *       leaving. Without the list, a drain of which the peer was not notified would abort requests;
+ *       without the peer's message, a drain would be delayed by the lag of the list.
+ *   <li>A statement applies only to the process it was made about. Instances are replaced at the
+ *       same address, so a process is identified by its incarnation, which it generates at its
+ *       start, and an instance in the list by the platform's instance id. Neither the leaving of a
+ *       predecessor nor the loss of the connection to it affects the replacement.
+ *   <li>Of two hello messages from one address, the one on the connection opened later is used. The
+ *       other one may have been delayed.
  * </ul>
  *
- * <p>Not safe for use by several threads at once.
+ * <p>Not thread-safe.
  */
 public final class PeerTable {
 
-  /** Every address that is listed or connected. */
+  /** Peers by address: all that are in the list or connected. */
   private final Map<String, Peer> peers = new TreeMap<>();
 
   /**
-   * Takes in the platform's list.
+   * Applies the platform's list.
    *
-   * @param list the whole list as it was read
-   * @return what follows from it
+   * @param list the complete list
+   * @return the resulting events
    */
   public List<PeerEvent> listed(Collection<ListedPeer> list) {
     Map<String, ListedPeer> byAddress =
         list.stream()
-            .collect(Collectors.toMap(ListedPeer::address, line -> line, PeerTable::later));
+            .collect(
+                Collectors.toMap(
+                    ListedPeer::address, entry -> entry, PeerTable::preferReplacement));
     List<PeerEvent> events = new ArrayList<>();
-    byAddress.values().forEach(line -> peer(line.address()).listed = Optional.of(line));
+    byAddress.values().forEach(entry -> getOrAdd(entry.address()).listEntry = Optional.of(entry));
     peers.forEach(
         (address, peer) -> {
           if (!byAddress.containsKey(address)) {
-            peer.listed = Optional.empty();
+            peer.listEntry = Optional.empty();
           }
-          events.addAll(update(address, peer));
+          events.addAll(reconcile(address, peer));
         });
-    peers.values().removeIf(peer -> peer.listed.isEmpty() && peer.process == null);
+    peers.values().removeIf(peer -> peer.listEntry.isEmpty() && peer.process == null);
     return events;
   }
 
   /**
-   * Takes in the first message on a connection.
+   * Applies the hello message of a connection.
    *
-   * @param address the peer
-   * @param connection rises with every connection this process opens
-   * @param instance the platform's id of the peer's instance, as the peer says
-   * @param incarnation the process behind the connection
-   * @return what follows from it; empty when a later connection has been introduced before
+   * @param address the peer's address
+   * @param connection number of the connection, increasing with every connection that this process
+   *     opens
+   * @param instance the platform's id of the peer's instance, as reported by the peer
+   * @param incarnation the process at the other end of the connection
+   * @return the resulting events; empty when the hello of a later connection was applied before
    */
   public List<PeerEvent> introduced(
       String address, long connection, String instance, Incarnation incarnation) {
-    Peer peer = peer(address);
+    Peer peer = getOrAdd(address);
     if (peer.process != null && peer.process.connection > connection) {
       return List.of();
     }
     List<PeerEvent> events = new ArrayList<>();
-    boolean another = peer.process != null && !peer.process.incarnation.equals(incarnation);
-    if (another) {
+    boolean replaced = peer.process != null && !peer.process.incarnation.equals(incarnation);
+    if (replaced) {
       events.add(new PeerEvent.Lost(address, peer.process.incarnation));
       peer.processEnded();
     }
-    boolean left = peer.departed.equals(Optional.of(incarnation));
-    boolean leaving = left || (peer.process != null && peer.process.leaving);
-    boolean announced = peer.process != null && peer.process.announced;
-    peer.process = new Process(connection, instance, incarnation, leaving, announced);
+    boolean wasLeaving = peer.departed.equals(Optional.of(incarnation));
+    boolean leaving = wasLeaving || (peer.process != null && peer.process.leaving);
+    boolean joinReported = peer.process != null && peer.process.joinReported;
+    peer.process = new PeerProcess(connection, instance, incarnation, leaving, joinReported);
     peer.connecting = false;
-    events.addAll(update(address, peer));
+    events.addAll(reconcile(address, peer));
     return events;
   }
 
   /**
-   * Takes in a peer's word that it is leaving.
+   * Applies a peer's message that it is leaving.
    *
-   * @param address the peer
-   * @param incarnation the process behind the connection on which it was said
-   * @return what follows from it; empty when another process is there now
+   * @param address the peer's address
+   * @param incarnation the process that sent the message
+   * @return the resulting events; empty when another process has replaced it
    */
   public List<PeerEvent> leaving(String address, Incarnation incarnation) {
     Peer peer = peers.get(address);
-    if (peer == null || !peer.isRunBy(incarnation)) {
+    if (peer == null || !peer.isProcess(incarnation)) {
       return List.of();
     }
     peer.process.leaving = true;
-    return update(address, peer);
+    return reconcile(address, peer);
   }
 
   /**
    * Records that a connection was closed or abandoned.
    *
-   * @param address the peer
-   * @param connection the connection
-   * @return what follows from it: the peer's attempts are settled and, if it is listed, a new
-   *     connection is opened; empty when a later connection has taken its place
+   * @param address the peer's address
+   * @param connection number of the connection
+   * @return the resulting events: the process is lost and, if the peer is in the list and not
+   *     leaving, a new connection must be opened; empty when a later connection has replaced this
+   *     one
    */
   public List<PeerEvent> disconnected(String address, long connection) {
     Peer peer = peers.get(address);
@@ -123,7 +128,7 @@
     }
     peer.connecting = false;
     if (peer.process == null) {
-      return connect(address, peer);
+      return connectIfListed(address, peer);
     }
     if (peer.process.connection != connection) {
       return List.of();
@@ -131,52 +136,52 @@
     List<PeerEvent> events = new ArrayList<>();
     events.add(new PeerEvent.Lost(address, peer.process.incarnation));
     peer.processEnded();
-    events.addAll(connect(address, peer));
+    events.addAll(connectIfListed(address, peer));
     return events;
   }
 
   /**
-   * Returns who takes work.
+   * Returns the peers that accept new requests.
    *
-   * @return addresses of peers that introduced themselves and are not leaving
+   * @return addresses of the peers whose hello was received and that are not leaving
    */
   public Set<String> takingWork() {
     return peers.entrySet().stream()
-        .filter(entry -> entry.getValue().takesWork())
+        .filter(entry -> entry.getValue().isAvailable())
         .map(Map.Entry::getKey)
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
-  private Peer peer(String address) {
+  private Peer getOrAdd(String address) {
     return peers.computeIfAbsent(address, unused -> new Peer());
   }
 
-  private static List<PeerEvent> update(String address, Peer peer) {
+  private static List<PeerEvent> reconcile(String address, Peer peer) {
     if (peer.process == null) {
-      return connect(address, peer);
+      return connectIfListed(address, peer);
     }
-    Process process = peer.process;
-    if (peer.listSaysLeaving(process.instance)) {
+    PeerProcess process = peer.process;
+    if (peer.isListedAsLeaving(process.instance)) {
       process.leaving = true;
     }
     List<PeerEvent> events = new ArrayList<>();
-    if (process.leaving && !process.leavingAnnounced) {
-      process.leavingAnnounced = true;
+    if (process.leaving && !process.leavingReported) {
+      process.leavingReported = true;
       events.add(new PeerEvent.Leaving(address, process.incarnation));
     }
-    if (!process.leaving && !process.announced) {
-      process.announced = true;
+    if (!process.leaving && !process.joinReported) {
+      process.joinReported = true;
       events.add(new PeerEvent.Joined(address, process.incarnation));
     }
     return events;
   }
 
-  /** Nobody connects to an instance that is known to be leaving. */
-  private static List<PeerEvent> connect(String address, Peer peer) {
+  /** Requests a connection, unless the listed instance is leaving or has left. */
+  private static List<PeerEvent> connectIfListed(String address, Peer peer) {
     boolean wanted =
-        peer.listed
-            .filter(line -> !line.leaving())
-            .filter(line -> !peer.departedInstance.equals(Optional.of(line.instance())))
+        peer.listEntry
+            .filter(entry -> !entry.leaving())
+            .filter(entry -> !peer.departedInstance.equals(Optional.of(entry.instance())))
             .isPresent();
     if (!wanted || peer.connecting) {
       return List.of();
@@ -185,67 +190,69 @@
     return List.of(new PeerEvent.Connect(address));
   }
 
-  /** A list that shows two instances at one address is in the middle of a replacement. */
-  private static ListedPeer later(ListedPeer one, ListedPeer other) {
+  /** Prefers the replacement when the list contains two instances at one address. */
+  private static ListedPeer preferReplacement(ListedPeer one, ListedPeer other) {
     return one.leaving() ? other : one;
   }
 
   private static final class Peer {
 
-    private Optional<ListedPeer> listed = Optional.empty();
+    private Optional<ListedPeer> listEntry = Optional.empty();
 
-    /** The process that was leaving when it was last heard of; it may connect once more. */
+    /** The last process, if it was leaving when its connection was lost; it may reconnect. */
     private Optional<Incarnation> departed = Optional.empty();
 
-    /** Its instance; the list shows it for a while yet. */
+    /** Instance of the departed process; the list may still contain it for some time. */
     private Optional<String> departedInstance = Optional.empty();
 
-    /** Null while there is no connection on which the peer introduced itself. */
-    private Process process;
+    /** The connected process; null while there is no connection with a received hello. */
+    private PeerProcess process;
 
     private boolean connecting;
 
     private void processEnded() {
-      boolean left = process.leaving;
-      departed = left ? Optional.of(process.incarnation) : Optional.empty();
-      departedInstance = left ? Optional.of(process.instance) : Optional.empty();
+      boolean wasLeaving = process.leaving;
+      departed = wasLeaving ? Optional.of(process.incarnation) : Optional.empty();
+      departedInstance = wasLeaving ? Optional.of(process.instance) : Optional.empty();
       process = null;
     }
 
-    private boolean isRunBy(Incarnation incarnation) {
+    private boolean isProcess(Incarnation incarnation) {
       return process != null && process.incarnation.equals(incarnation);
     }
 
-    private boolean takesWork() {
+    private boolean isAvailable() {
       return process != null && !process.leaving;
     }
 
-    private boolean listSaysLeaving(String instance) {
-      return listed.filter(line -> line.leaving() && line.instance().equals(instance)).isPresent();
+    private boolean isListedAsLeaving(String instance) {
+      return listEntry
+          .filter(entry -> entry.leaving() && entry.instance().equals(instance))
+          .isPresent();
     }
   }
 
-  private static final class Process {
+  private static final class PeerProcess {
 
     private final long connection;
     private final String instance;
     private final Incarnation incarnation;
     private boolean leaving;
-    private boolean announced;
-    private boolean leavingAnnounced;
+    private boolean joinReported;
+    private boolean leavingReported;
 
-    Process(
+    PeerProcess(
         long connection,
         String instance,
         Incarnation incarnation,
         boolean leaving,
-        boolean announced) {
+        boolean joinReported) {
       this.connection = connection;
       this.instance = instance;
       this.incarnation = incarnation;
       this.leaving = leaving;
-      this.announced = announced;
-      this.leavingAnnounced = leaving;
+      this.joinReported = joinReported;
+      this.leavingReported = leaving;
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/membership/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which peers exist, which of them take work, and which connections are dead. */
+/** Tracks which peers exist, which of them accept requests and which connections are dead. */
 package org.hornbeamusher.membership;
--- a/runtime/src/test/java/org/hornbeamusher/membership/ConnectionPlanTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/membership/ConnectionPlanTest.java
@@ -15,38 +15,38 @@
 
 class ConnectionPlanTest {
 
-  private static final int ZONES = 15;
+  private static final int ZONE_COUNT = 15;
 
   @Test
-  void fewAgentsAreAllConnected() {
+  void fewAgentsAreAllChosen() {
     assertEquals(18, ConnectionPlan.choose("entry-1", zone(0), agents(18)).size());
   }
 
   @Test
-  void manyAgentsAreConnectedByZone() {
+  void manyAgentsAreChosenByZone() {
     Set<String> chosen = ConnectionPlan.choose("entry-1", zone(0), agents(1_400));
 
-    assertEquals(94 + 2 * (ZONES - 1), chosen.size());
+    assertEquals(94 + 2 * (ZONE_COUNT - 1), chosen.size());
   }
 
-  /** Every agent must be known to entries of other zones, or a zone without entries is lost. */
+  /** Guards against agents without connections from other zones when their zone has no entries. */
   @Test
-  void entriesSpreadOverTheAgentsOfOtherZones() {
-    Map<String, Integer> chosenBy = new HashMap<>();
+  void entriesAreSpreadOverTheAgentsOfOtherZones() {
+    Map<String, Integer> choiceCounts = new HashMap<>();
     for (int entry = 0; entry < 400; entry++) {
-      AvailabilityZone zone = zone(entry % ZONES);
+      AvailabilityZone zone = zone(entry % ZONE_COUNT);
       for (String agent : ConnectionPlan.choose("entry-" + entry, zone, agents(1_400))) {
-        chosenBy.merge(agent, 1, Integer::sum);
+        choiceCounts.merge(agent, 1, Integer::sum);
       }
     }
 
-    assertEquals(1_400, chosenBy.size());
-    assertTrue(chosenBy.values().stream().allMatch(count -> count > 26 && count < 60));
+    assertEquals(1_400, choiceCounts.size());
+    assertTrue(choiceCounts.values().stream().allMatch(count -> count > 26 && count < 60));
   }
 
-  /** An agent goes; the entry must not open connections to agents it did not know before. */
+  /** Guards against a wave of new connections when one agent leaves. */
   @Test
-  void lossOfOneAgentChangesOneConnection() {
+  void lossOfOneAgentOpensOneConnection() {
     List<Place> agents = agents(1_400);
     Set<String> before = ConnectionPlan.choose("entry-1", zone(0), agents);
     String lost =
@@ -67,7 +67,7 @@
   private static List<Place> agents(int count) {
     List<Place> agents = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      agents.add(new Place("10.0." + i / 250 + "." + i % 250 + ":7400", zone(i % ZONES)));
+      agents.add(new Place("10.0." + i / 250 + "." + i % 250 + ":7400", zone(i % ZONE_COUNT)));
     }
     return agents;
   }
--- a/runtime/src/test/java/org/hornbeamusher/membership/HeartbeatMonitorTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/membership/HeartbeatMonitorTest.java
@@ -11,7 +11,7 @@
   private final HeartbeatMonitor monitor = new HeartbeatMonitor(1_000, 3, 0);
 
   @Test
-  void heartbeatsKeepTheConnection() {
+  void connectionWithHeartbeatsIsKept() {
     for (long now = 1_000; now < 60_000; now += 1_000) {
       monitor.received(now);
       assertFalse(monitor.silent(now + 500));
@@ -19,11 +19,11 @@
   }
 
   /**
-   * Something between the two ends has lost track of the connection. Requests sent on it would wait
-   * for ever; after three seconds it is abandoned.
+   * A network element dropped the state of the connection without notice. Guards against requests
+   * that wait on it indefinitely.
    */
   @Test
-  void silentConnectionIsFoundAfterThreeMissedBeats() {
+  void silentConnectionIsDetectedAfterThreeMissedHeartbeats() {
     assertFalse(monitor.silent(1_000));
     assertFalse(monitor.silent(2_000));
     assertTrue(monitor.silent(3_000));
@@ -31,11 +31,11 @@
   }
 
   /**
-   * This process is paused for half a minute. On waking it must not abandon every connection, whose
-   * heartbeats it has not read yet; one that is really dead is found an interval later.
+   * After a pause of this process it must not abandon all connections, because their heartbeats are
+   * only unread; a connection that is really dead is detected one interval later.
    */
   @Test
-  void ownPauseIsNotTakenForSilence() {
+  void ownPauseDoesNotCountAsSilence() {
     assertFalse(monitor.silent(1_000));
     assertFalse(monitor.silent(31_000));
     assertTrue(monitor.silent(32_000));
@@ -48,9 +48,9 @@
     assertFalse(monitor.silent(32_000));
   }
 
-  /** The wall clock is set back; a dead connection must still be found. */
+  /** A dead connection must still be detected when the clock is set back. */
   @Test
-  void clockThatStepsBackDelaysByThePatienceAtMost() {
+  void clockSetBackDelaysDetectionByTheTimeoutAtMost() {
     monitor.received(100_000);
     assertFalse(monitor.silent(50_000));
     assertFalse(monitor.silent(51_000));
--- a/runtime/src/test/java/org/hornbeamusher/membership/PeerCountTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/membership/PeerCountTest.java
@@ -12,15 +12,13 @@
   private final PeerCount count = new PeerCount(WINDOW_MILLIS);
 
   @Test
-  void nothingIsKnownBeforeTheFirstCount() {
+  void emptyBeforeTheFirstCount() {
     assertEquals(OptionalInt.empty(), count.most());
   }
 
-  /**
-   * Guards against a list that lacks peers for a moment and makes the shares of the others grow.
-   */
+  /** Guards against shares that grow while the list temporarily lacks peers. */
   @Test
-  void largerCountHoldsForSomeTime() {
+  void maximumHoldsForTheWindow() {
     count.counted(5, 0);
     count.counted(1, 1_000);
     count.counted(2, 2_000);
@@ -31,9 +29,9 @@
     assertEquals(OptionalInt.of(2), count.most());
   }
 
-  /** Guards against a process that is cut off and takes the silence for the end of its peers. */
+  /** Guards against a process in a network partition that assumes that its peers are gone. */
   @Test
-  void lastCountHoldsWhileNobodyCounts() {
+  void lastCountHoldsWhileThereAreNoCounts() {
     count.counted(400, 0);
     count.counted(399, 1_000);
     count.counted(1, 100 * WINDOW_MILLIS);
--- a/runtime/src/test/java/org/hornbeamusher/membership/PeerTableStateMachineTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/membership/PeerTableStateMachineTest.java
@@ -15,32 +15,39 @@
 import net.jqwik.api.state.Transformer;
 import org.hornbeamusher.ids.Incarnation;
 
-/** Any order of lists, introductions, leavings and lost connections at one address. */
+/**
+ * Applies random sequences of lists, hello messages, leaving messages and lost connections to one
+ * address and compares the table with a simple model.
+ */
 class PeerTableStateMachineTest {
 
   private static final String ADDRESS = "10.0.0.1:7400";
   private static final long NONE = -1;
 
   @Property(seed = "62", tries = 1_000)
-  void onlyProcessThatIntroducedItselfAndDoesNotLeaveTakesWork(
+  void onlyConnectedProcessThatIsNotLeavingAcceptsRequests(
       @ForAll("chains") ActionChain<World> chain) {
     chain
-        .withInvariant("no work for one that leaves", World::noWorkForLeaving)
-        .withInvariant("work for one that is there", World::workForPresent)
+        .withInvariant(
+            "a leaving or disconnected process is not available",
+            World::unavailableUnlessConnectedAndStaying)
+        .withInvariant(
+            "a connected process that is not leaving is available",
+            World::availableWhileConnectedAndStaying)
         .run();
   }
 
   @Provide
   ActionChainArbitrary<World> chains() {
     return ActionChain.startWith(World::new)
-        .withAction(3, new Listed())
-        .withAction(4, new Introduced())
-        .withAction(2, new Leaving())
+        .withAction(3, new ListReceived())
+        .withAction(4, new HelloReceived())
+        .withAction(2, new LeavingReceived())
         .withAction(2, new Disconnected())
         .withMaxTransformations(30);
   }
 
-  /** What happened, told in the simplest way; the table must agree with it. */
+  /** A simple model of the events, with which the table must agree. */
   private static final class World {
 
     private final PeerTable table = new PeerTable();
@@ -48,23 +55,23 @@
     private long process;
     private boolean connected;
     private boolean leaving;
-    private long listedLeaving = NONE;
-    private long lastLeft = NONE;
+    private long listedLeavingInstance = NONE;
+    private long departedProcess = NONE;
 
-    void noWorkForLeaving() {
+    void unavailableUnlessConnectedAndStaying() {
       if (!connected || leaving) {
         assertFalse(table.takingWork().contains(ADDRESS));
       }
     }
 
-    void workForPresent() {
+    void availableWhileConnectedAndStaying() {
       if (connected && !leaving) {
         assertTrue(table.takingWork().contains(ADDRESS));
       }
     }
   }
 
-  private static final class Listed implements Action.Independent<World> {
+  private static final class ListReceived implements Action.Independent<World> {
     @Override
     public Arbitrary<Transformer<World>> transformer() {
       return Arbitraries.longs()
@@ -75,19 +82,19 @@
                       .map(
                           leaving ->
                               Transformer.mutate(
-                                  "list " + instance + " leaving " + leaving,
+                                  "list instance " + instance + ", leaving: " + leaving,
                                   world -> list(world, instance, leaving))));
     }
 
     private static void list(World world, long instance, boolean leaving) {
       world.table.listed(List.of(new ListedPeer(ADDRESS, "i-" + instance, leaving)));
-      world.listedLeaving = leaving ? instance : NONE;
-      world.leaving |= world.connected && world.process == world.listedLeaving;
+      world.listedLeavingInstance = leaving ? instance : NONE;
+      world.leaving |= world.connected && world.process == world.listedLeavingInstance;
     }
   }
 
-  /** A process comes in on a later connection, or an earlier one's message arrives late. */
-  private static final class Introduced implements Action.Independent<World> {
+  /** A hello on a later connection, or a delayed one from an earlier connection. */
+  private static final class HelloReceived implements Action.Independent<World> {
     @Override
     public Arbitrary<Transformer<World>> transformer() {
       return Arbitraries.longs()
@@ -98,7 +105,7 @@
                       .map(
                           later ->
                               Transformer.mutate(
-                                  "process " + process + " later " + later,
+                                  "hello of process " + process + ", later connection: " + later,
                                   world -> introduce(world, process, later))));
     }
 
@@ -109,18 +116,20 @@
         return;
       }
       if (world.connected && world.process != process) {
-        world.lastLeft = world.leaving ? world.process : NONE;
+        world.departedProcess = world.leaving ? world.process : NONE;
       }
       boolean same = world.connected && world.process == process;
       world.leaving =
-          (same && world.leaving) || world.lastLeft == process || world.listedLeaving == process;
+          (same && world.leaving)
+              || world.departedProcess == process
+              || world.listedLeavingInstance == process;
       world.connection = connection;
       world.process = process;
       world.connected = true;
     }
   }
 
-  private static final class Leaving implements Action.Independent<World> {
+  private static final class LeavingReceived implements Action.Independent<World> {
     @Override
     public Arbitrary<Transformer<World>> transformer() {
       return Arbitraries.longs()
@@ -143,13 +152,14 @@
           .map(
               current ->
                   Transformer.mutate(
-                      "disconnected, current " + current, world -> disconnect(world, current)));
+                      "disconnect current connection: " + current,
+                      world -> disconnect(world, current)));
     }
 
     private static void disconnect(World world, boolean current) {
       world.table.disconnected(ADDRESS, current ? world.connection : world.connection - 1);
       if (current && world.connected) {
-        world.lastLeft = world.leaving ? world.process : NONE;
+        world.departedProcess = world.leaving ? world.process : NONE;
         world.connected = false;
       }
     }
--- a/runtime/src/test/java/org/hornbeamusher/membership/PeerTableTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/membership/PeerTableTest.java
@@ -16,7 +16,7 @@
   private final PeerTable table = new PeerTable();
 
   @Test
-  void listedPeerIsConnectedOnceAndJoinsByItsOwnWord() {
+  void listedPeerIsConnectedOnceAndJoinsByItsHello() {
     assertEquals(List.of(new PeerEvent.Connect(ADDRESS)), listed("i-1", false));
     assertEquals(List.of(), listed("i-1", false));
     assertEquals(List.of(new PeerEvent.Joined(ADDRESS, FIRST)), introduced(1, "i-1", FIRST));
@@ -24,20 +24,20 @@
   }
 
   /**
-   * The platform's list is empty for a while. Endpoints that answer must go on getting work, or an
-   * outage of the list would stop everything.
+   * The platform's list is temporarily empty. Guards against an outage of the list that removes all
+   * working peers.
    */
   @Test
-  void emptyListTakesNoWorkingPeerAway() {
+  void emptyListDoesNotRemoveConnectedPeer() {
     join();
 
     assertEquals(List.of(), table.listed(List.of()));
     assertEquals(Set.of(ADDRESS), table.takingWork());
   }
 
-  /** An agent drains; the list goes on showing it as live. It must get nothing new. */
+  /** A draining agent must get no new requests, although the list still shows it as live. */
   @Test
-  void ownWordOfLeavingWinsOverTheList() {
+  void leavingMessageOverridesTheList() {
     join();
 
     assertEquals(List.of(new PeerEvent.Leaving(ADDRESS, FIRST)), table.leaving(ADDRESS, FIRST));
@@ -45,9 +45,9 @@
     assertEquals(Set.of(), table.takingWork());
   }
 
-  /** The platform removes an instance without telling its agent. The list alone must suffice. */
+  /** The platform removes an instance without notifying its agent; the list alone must suffice. */
   @Test
-  void listsWordOfLeavingStopsNewWorkToo() {
+  void leavingInTheListStopsNewRequests() {
     join();
 
     assertEquals(List.of(new PeerEvent.Leaving(ADDRESS, FIRST)), listed("i-1", true));
@@ -56,10 +56,10 @@
 
   /**
    * An instance is replaced at the same address while the list still shows its predecessor as
-   * leaving. The replacement must get work at once.
+   * leaving. The replacement must be available at once.
    */
   @Test
-  void predecessorsLeavingDoesNotApplyToItsReplacement() {
+  void leavingOfPredecessorDoesNotApplyToReplacement() {
     join();
     table.leaving(ADDRESS, FIRST);
     listed("i-1", true);
@@ -73,11 +73,11 @@
   }
 
   /**
-   * The first connection's introduction was under way for long and comes after the second's. The
-   * process it names is gone; requests must not be settled or sent by its word.
+   * The hello of the first connection is delayed and arrives after that of the second. The process
+   * it names has ended, so it must not replace the current one.
    */
   @Test
-  void introductionOnAnEarlierConnectionIsIgnored() {
+  void helloOnAnEarlierConnectionIsIgnored() {
     listed("i-2", false);
     introduced(2, "i-2", SECOND);
 
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void lostConnectionSettlesAttemptsAndOpensAnotherOne() {
+  void lostConnectionIsReportedAndReopened() {
     join();
 
     assertEquals(
@@ -95,9 +95,9 @@
     assertEquals(List.of(new PeerEvent.Joined(ADDRESS, FIRST)), introduced(2, "i-1", FIRST));
   }
 
-  /** A connection breaks in the middle of a drain; the next one must not undo the drain. */
+  /** A new connection during a drain must not undo the drain. */
   @Test
-  void leavingOutlivesTheConnection() {
+  void leavingPersistsOnNewConnection() {
     join();
     table.leaving(ADDRESS, FIRST);
 
@@ -105,9 +105,9 @@
     assertEquals(Set.of(), table.takingWork());
   }
 
-  /** A draining process's connection is lost and it connects once more, without a further word. */
+  /** A draining process loses its connection and reconnects without repeating that it leaves. */
   @Test
-  void leavingOutlivesTheLossOfTheConnection() {
+  void leavingPersistsAfterTheConnectionIsLost() {
     join();
     table.leaving(ADDRESS, FIRST);
     table.disconnected(ADDRESS, 1);
@@ -116,11 +116,9 @@
     assertEquals(Set.of(), table.takingWork());
   }
 
-  /**
-   * The list shows an instance that has drained and closed. Nobody must call it again and again.
-   */
+  /** Guards against repeated connection attempts to a drained instance that is still listed. */
   @Test
-  void departedInstanceIsNotConnectedAgainThoughListed() {
+  void departedInstanceIsNotReconnectedWhileListed() {
     join();
     table.leaving(ADDRESS, FIRST);
     table.disconnected(ADDRESS, 1);
