--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimKeeper.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimKeeper.java
@@ -196,7 +196,7 @@
   /**
    * Completes at the claim's expiry at the latest; otherwise a slow table would keep the caller
    * waiting past its deadline. A claim that is acquired after that is finished as not run: nothing
-   * was dispatched, and the caller has already been told so.
+   * was dispatched, and this has already been reported to the caller.
    */
   private CompletableFuture<ClaimResult> completeByExpiry(
       Claim claim, CompletableFuture<ClaimResult> result) {
--- a/runtime/src/main/java/org/hornbeamusher/claims/StoredAnswer.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/StoredAnswer.java
@@ -7,14 +7,14 @@
  *
  * @param status the HTTP status
  * @param contentType the media type
- * @param body the whole body
+ * @param body the complete body
  */
 public record StoredAnswer(int status, String contentType, byte[] body) {
 
   /**
    * Maximum stored body length in bytes. Bookings and valuations are below 1 KiB; a response of
-   * 4,000 tokens is about this long. Longer responses are not stored; a retry is then told only
-   * that the request has run.
+   * 4,000 tokens is about this long. Longer responses are not stored; a retry then learns only that
+   * the request has run.
    */
   public static final int MAXIMUM_LENGTH = 16 * 1_024;
 
--- a/runtime/src/main/java/org/hornbeamusher/membership/HeartbeatMonitor.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/HeartbeatMonitor.java
@@ -5,9 +5,9 @@
  *
  * <p>Sometimes a network element between two processes drops the state of a connection: nothing
  * sent on it arrives any more, neither end is notified, and new connections work. TCP alone detects
- * this after many minutes, during which every request sent on the connection waits in vain. So both
- * ends send a heartbeat in every interval, and a connection on which nothing was received for
- * {@code missedLimit} intervals is abandoned.
+ * this after many minutes, during which every request sent on the connection waits for a response
+ * that never arrives. So both ends send a heartbeat in every interval, and a connection on which
+ * nothing was received for {@code missedLimit} intervals is abandoned.
  *
  * <p>A process that was itself paused has received nothing either. If its pause counted as silence
  * of the peers, it would abandon all its connections when it resumes, although their messages are
--- a/runtime/src/main/java/org/hornbeamusher/membership/PeerEvent.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/PeerEvent.java
@@ -2,7 +2,7 @@
 
 import org.hornbeamusher.ids.Incarnation;
 
-/** An event by which {@link PeerTable} tells its owner what to do. */
+/** A change in {@link PeerTable} that its owner has to act on. */
 public sealed interface PeerEvent {
 
   /**
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimKeeperTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimKeeperTest.java
@@ -84,8 +84,8 @@
   }
 
   /**
-   * All responses of the table are lost, but the claim takes effect later. The caller was told that
-   * its request did not run, so the old claim must not block the retry.
+   * All responses of the table are lost, but the claim takes effect later. The request was reported
+   * as not run, so the old claim must not block the caller's retry.
    */
   @Test
   void abandonedClaimIsReleasedInTheBackground() {
@@ -129,7 +129,7 @@
 
   /**
    * An abandoned claim reaches the table after its release. If it took effect, it would block the
-   * retry of a caller that was told that its request did not run.
+   * caller's retry, although the request was reported as not run.
    */
   @Test
   void claimThatArrivesAfterItsReleaseHasNoEffect() {
@@ -179,8 +179,8 @@
   }
 
   /**
-   * The table commits the claim only after the caller's deadline. The caller was told in time that
-   * its request did not run, so the claim must be released or it would block the retry.
+   * The table commits the claim only after the caller's deadline. The request was reported in time
+   * as not run, so the claim must be released or it would block the caller's retry.
    */
   @Test
   void claimAcquiredAfterTheDeadlineIsReleased() {
