--- a/runtime/src/main/java/org/hornbeamusher/claims/StoredResponse.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/StoredResponse.java
@@ -3,17 +3,18 @@
 import java.util.Arrays;
 
 /**
- * An answer that is short enough to be kept with its claim.
+ * A response that is short enough to be stored with its claim.
  *
  * @param status the HTTP status
  * @param contentType the media type
- * @param body the whole body
+ * @param body the complete body
  */
 public record StoredResponse(int status, String contentType, byte[] body) {
 
   /**
-   * Longest body kept: bookings and valuations are below 1 KiB, an answer of 4,000 tokens is about
-   * this long. Longer ones are not kept; a resend is then told that the request ran.
+   * Maximum stored body length in bytes. Bookings and valuations are below 1 KiB; a response of
+   * 4,000 tokens is about this long. Longer responses are not stored; a retry then learns only that
+   * the request has run.
    */
   public static final int MAXIMUM_LENGTH = 16 * 1_024;
 
--- a/runtime/src/test/java/org/hornbeamusher/suspects/SuspectRowsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/suspects/SuspectRowsTest.java
@@ -14,58 +14,60 @@
   private static final long FINGERPRINT = 0x1234L;
   private final ManualClock clock = new ManualClock(1_000_000);
   private final InMemoryTable table = new InMemoryTable();
-  private final SuspectStore one = new SuspectStore(table, QuarantineSettings.DEFAULT, clock);
-  private final SuspectStore other = new SuspectStore(table, QuarantineSettings.DEFAULT, clock);
+  private final SuspectStore firstEntry =
+      new SuspectStore(table, QuarantineSettings.DEFAULT, clock);
+  private final SuspectStore secondEntry =
+      new SuspectStore(table, QuarantineSettings.DEFAULT, clock);
 
   /**
-   * Two entries that both know of the first crash are sent the request again at once. Only one may
-   * run it; the other's caller is told that it runs.
+   * The request is retried at two entries at once that both know of its first crash. Guards against
+   * both running it; the second must report that it is running.
    */
   @Test
-  void suspectsRunAtOneEntryOnly() {
-    one.recordCrash(FINGERPRINT).join();
+  void suspectRunsAtOnlyOneEntry() {
+    firstEntry.recordCrash(FINGERPRINT).join();
     long until = clock.millis() + 5_000;
 
-    assertInstanceOf(SuspectClaim.Granted.class, one.claim(FINGERPRINT, until).join());
+    assertInstanceOf(SuspectClaim.Granted.class, firstEntry.claim(FINGERPRINT, until).join());
     assertEquals(
         new SuspectClaim.Refused(FailureType.SUSPECT_RUNNING, 1),
-        other.claim(FINGERPRINT, until).join());
+        secondEntry.claim(FINGERPRINT, until).join());
 
-    one.release(FINGERPRINT).join();
-    assertInstanceOf(SuspectClaim.Granted.class, other.claim(FINGERPRINT, until).join());
+    firstEntry.release(FINGERPRINT).join();
+    assertInstanceOf(SuspectClaim.Granted.class, secondEntry.claim(FINGERPRINT, until).join());
   }
 
-  /** The notice of the second crash is lost; the row still keeps a third endpoint from it. */
+  /** Without a notification of the second crash, the row must prevent a run on a third endpoint. */
   @Test
-  void theSecondCrashIsKnownEverywhere() {
-    one.recordCrash(FINGERPRINT).join();
-    other.recordCrash(FINGERPRINT).join();
+  void secondCrashIsKnownToAllEntries() {
+    firstEntry.recordCrash(FINGERPRINT).join();
+    secondEntry.recordCrash(FINGERPRINT).join();
 
     assertEquals(
         new SuspectClaim.Refused(FailureType.QUARANTINED, 2),
-        one.claim(FINGERPRINT, clock.millis() + 5_000).join());
+        firstEntry.claim(FINGERPRINT, clock.millis() + 5_000).join());
   }
 
-  /** The entry that ran a suspect is gone; after the request's deadline another may run it. */
+  /** The entry that ran a suspect has died; after the request's deadline another may run it. */
   @Test
-  void runsEndWithTheirDeadline() {
-    one.recordCrash(FINGERPRINT).join();
-    one.claim(FINGERPRINT, clock.millis() + 5_000).join();
+  void rightToRunExpiresAtTheDeadline() {
+    firstEntry.recordCrash(FINGERPRINT).join();
+    firstEntry.claim(FINGERPRINT, clock.millis() + 5_000).join();
 
     clock.advance(5_000);
 
     assertInstanceOf(
-        SuspectClaim.Granted.class, other.claim(FINGERPRINT, clock.millis() + 5_000).join());
+        SuspectClaim.Granted.class, secondEntry.claim(FINGERPRINT, clock.millis() + 5_000).join());
   }
 
   @Test
-  void crashesAreForgottenAfterTheQuarantine() {
-    one.recordCrash(FINGERPRINT).join();
-    one.recordCrash(FINGERPRINT).join();
+  void crashesExpireAfterTheQuarantinePeriod() {
+    firstEntry.recordCrash(FINGERPRINT).join();
+    firstEntry.recordCrash(FINGERPRINT).join();
 
     clock.advance(QuarantineSettings.DEFAULT.quarantineMillis());
 
     assertInstanceOf(
-        SuspectClaim.Granted.class, one.claim(FINGERPRINT, clock.millis() + 5_000).join());
+        SuspectClaim.Granted.class, firstEntry.claim(FINGERPRINT, clock.millis() + 5_000).join());
   }
 }
