--- a/runtime/src/main/java/org/hornbeamusher/wire/FieldReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/FieldReader.java
@@ -10,90 +10,92 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Reads the fields of one message in order; a field that the sender left out reads as its default.
+ * Reads the fields of one message in order; a field that the sender omitted has its default value.
  *
- * <p>Lengths inside a frame are claims of the sender. No length may exceed what the frame still
- * holds, else a short frame could make the receiver allocate without bound.
+ * <p>Lengths inside a frame are untrusted input. No length may exceed the rest of the frame, or
+ * else a short frame could make the receiver allocate without bound.
  */
 final class FieldReader {
 
   private final MessageUnpacker unpacker;
   private final int frameBytes;
-  private int remaining;
+  private int remainingFields;
 
   FieldReader(MessageUnpacker unpacker, int fields, int frameBytes) {
     this.unpacker = unpacker;
-    this.remaining = fields;
+    this.remainingFields = fields;
     this.frameBytes = frameBytes;
   }
 
-  int integer() throws IOException {
-    return next() ? unpacker.unpackInt() : 0;
+  int readInt() throws IOException {
+    return nextField() ? unpacker.unpackInt() : 0;
   }
 
-  long number() throws IOException {
-    return next() ? unpacker.unpackLong() : 0;
+  long readLong() throws IOException {
+    return nextField() ? unpacker.unpackLong() : 0;
   }
 
-  double real() throws IOException {
-    return next() ? unpacker.unpackDouble() : 0;
+  double readDouble() throws IOException {
+    return nextField() ? unpacker.unpackDouble() : 0;
   }
 
-  boolean flag() throws IOException {
-    return next() && unpacker.unpackBoolean();
+  boolean readBoolean() throws IOException {
+    return nextField() && unpacker.unpackBoolean();
   }
 
-  String text() throws IOException {
-    return next() ? unpackText() : "";
+  String readString() throws IOException {
+    return nextField() ? unpackString() : "";
   }
 
-  byte[] bytes() throws IOException {
-    return next() ? unpacker.readPayload(bounded(unpacker.unpackBinaryHeader())) : new byte[0];
+  byte[] readBytes() throws IOException {
+    return nextField()
+        ? unpacker.readPayload(checkedLength(unpacker.unpackBinaryHeader()))
+        : new byte[0];
   }
 
-  List<String> texts() throws IOException {
-    if (!next()) {
+  List<String> readStrings() throws IOException {
+    if (!nextField()) {
       return List.of();
     }
-    int count = bounded(unpacker.unpackArrayHeader());
-    List<String> texts = new ArrayList<>(count);
+    int count = checkedLength(unpacker.unpackArrayHeader());
+    List<String> strings = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      texts.add(unpackText());
+      strings.add(unpackString());
     }
-    return List.copyOf(texts);
+    return List.copyOf(strings);
   }
 
-  Map<String, Long> numbersByText() throws IOException {
-    if (!next()) {
+  Map<String, Long> readLongsByString() throws IOException {
+    if (!nextField()) {
       return Map.of();
     }
-    int count = bounded(unpacker.unpackMapHeader());
-    Map<String, Long> numbers = new HashMap<>();
+    int count = checkedLength(unpacker.unpackMapHeader());
+    Map<String, Long> longs = new HashMap<>();
     for (int i = 0; i < count; i++) {
-      numbers.put(unpackText(), unpacker.unpackLong());
+      longs.put(unpackString(), unpacker.unpackLong());
     }
-    return Map.copyOf(numbers);
+    return Map.copyOf(longs);
   }
 
   void skipRest() throws IOException {
-    unpacker.skipValue(remaining);
-    remaining = 0;
+    unpacker.skipValue(remainingFields);
+    remainingFields = 0;
   }
 
-  private boolean next() {
-    if (remaining == 0) {
+  private boolean nextField() {
+    if (remainingFields == 0) {
       return false;
     }
-    remaining--;
+    remainingFields--;
     return true;
   }
 
-  private String unpackText() throws IOException {
-    int length = bounded(unpacker.unpackRawStringHeader());
+  private String unpackString() throws IOException {
+    int length = checkedLength(unpacker.unpackRawStringHeader());
     return new String(unpacker.readPayload(length), java.nio.charset.StandardCharsets.UTF_8);
   }
 
-  private int bounded(int length) {
+  private int checkedLength(int length) {
     if (length < 0 || length > frameBytes - unpacker.getTotalReadBytes()) {
       throw HornbeamusherException.notRun(
           FailureType.FRAME_MALFORMED, "a length of " + length + " exceeds the frame");
--- a/runtime/src/main/java/org/hornbeamusher/wire/ForwardingListener.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/ForwardingListener.java
@@ -2,7 +2,9 @@
 
 import org.hornbeamusher.failure.HornbeamusherException;
 
-/** Passes everything on to another listener; a subclass adds what its owner has to know. */
+/**
+ * Delegates every event to another listener; subclasses override the events that their owner needs.
+ */
 class ForwardingListener implements WireListener {
 
   private final WireListener listener;
--- a/runtime/src/main/java/org/hornbeamusher/wire/FrameBuffer.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/FrameBuffer.java
@@ -3,32 +3,34 @@
 import java.nio.ByteBuffer;
 
 /**
- * Bytes of a connection that come and go in pieces of any size.
+ * A growing buffer of frames that are read from or written to a connection in segments of any size.
  *
- * <p>The buffer is as large as what has been in it at once; nearly every frame is short, and an
- * entry has a connection to each of a thousand agents.
+ * <p>It starts small and grows with its content, because nearly every frame is short and an entry
+ * has a connection to each of a thousand agents.
  */
 final class FrameBuffer {
 
-  private static final int FIRST_BYTES = 512;
+  private static final int INITIAL_BYTES = 512;
 
-  /** Between calls, what it holds lies between its position and its limit. */
-  private ByteBuffer bytes = ByteBuffer.allocate(FIRST_BYTES).flip();
+  /** Between calls, the content lies between the position and the limit. */
+  private ByteBuffer bytes = ByteBuffer.allocate(INITIAL_BYTES).flip();
 
-  /** Returns how many bytes it holds. */
+  /** Returns the number of bytes in the buffer. */
   int length() {
     return bytes.remaining();
   }
 
-  /** Adds a frame. */
+  /** Appends a frame. */
   void putFrame(byte[] content) {
-    ByteBuffer room = writable(FrameStream.LENGTH_BYTES + content.length);
-    room.putInt(content.length).put(content).flip();
+    ByteBuffer target = beginWrite(FrameStream.LENGTH_BYTES + content.length);
+    target.putInt(content.length).put(content).flip();
   }
 
-  /** Returns room for at least as many more bytes; {@link #written} has to follow. */
-  ByteBuffer writable(int more) {
-    int needed = bytes.remaining() + more;
+  /**
+   * Returns the buffer with space for at least so many more bytes; {@link #endWrite} must follow.
+   */
+  ByteBuffer beginWrite(int additionalBytes) {
+    int needed = bytes.remaining() + additionalBytes;
     if (bytes.capacity() < needed) {
       bytes = ByteBuffer.allocate(Math.max(needed, 2 * bytes.capacity())).put(bytes);
     } else {
@@ -37,31 +39,31 @@
     return bytes;
   }
 
-  /** Takes what was written into the room. */
-  void written() {
+  /** Makes the written bytes part of the content. */
+  void endWrite() {
     bytes.flip();
   }
 
-  /** Returns what it holds, to be read; {@link #read} has to follow. */
-  ByteBuffer readable() {
+  /** Returns the content for reading; {@link #endRead} must follow. */
+  ByteBuffer beginRead() {
     return bytes;
   }
 
-  /** Drops what was read. */
-  void read() {
+  /** Discards the bytes that were read. */
+  void endRead() {
     bytes.compact().flip();
   }
 
   /**
-   * Takes the next frame out.
+   * Removes the next frame.
    *
-   * @return its content, or null while it is not whole
+   * @return its content, or null while it is incomplete
    */
   byte[] takeFrame() {
     if (bytes.remaining() < FrameStream.LENGTH_BYTES) {
       return null;
     }
-    int length = FrameStream.checked(bytes.getInt(bytes.position()));
+    int length = FrameStream.checkedLength(bytes.getInt(bytes.position()));
     if (bytes.remaining() < FrameStream.LENGTH_BYTES + length) {
       return null;
     }
--- a/runtime/src/main/java/org/hornbeamusher/wire/FrameStream.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/FrameStream.java
@@ -8,17 +8,17 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 
 /**
- * Splits a byte stream into frames: four bytes of length, then the content.
+ * Splits a byte stream into frames: a length of four bytes, then the content.
  *
- * <p>A length is checked before anything is allocated, so that a hostile or garbled length costs
- * its sender the connection and this process nothing.
+ * <p>The length is checked before anything is allocated, so that a malicious or corrupt length
+ * closes the sender's connection and allocates no memory here.
  */
 public final class FrameStream {
 
-  /** Longest frame: the largest request body, twice, for its framing and headers. */
+  /** Longest frame: twice the largest request body, which leaves space for framing and headers. */
   public static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
-  /** The length that stands before a frame. */
+  /** Size of the length prefix of a frame. */
   static final int LENGTH_BYTES = Integer.BYTES;
 
   private FrameStream() {}
@@ -26,7 +26,7 @@
   /**
    * Writes one frame without flushing.
    *
-   * @param out where to
+   * @param out the stream to write to
    * @param content the frame's content
    * @throws IOException when the stream is broken
    */
@@ -38,20 +38,20 @@
   /**
    * Reads one frame.
    *
-   * @param in where from
+   * @param in the stream to read from
    * @return its content
-   * @throws EOFException when the stream ended, inside a frame or before one
+   * @throws EOFException when the stream ends, inside a frame or before one
    * @throws IOException when the stream is broken
    * @throws HornbeamusherException of type {@code FRAME_TOO_LONG}
    */
   public static byte[] read(DataInputStream in) throws IOException {
-    byte[] content = new byte[checked(in.readInt())];
+    byte[] content = new byte[checkedLength(in.readInt())];
     in.readFully(content);
     return content;
   }
 
-  /** Returns a frame's length; fails with {@code FRAME_TOO_LONG} if no frame may be so long. */
-  static int checked(int length) {
+  /** Returns the length if a frame may have it, or else fails with {@code FRAME_TOO_LONG}. */
+  static int checkedLength(int length) {
     if (length < 0 || length > MAX_FRAME_BYTES) {
       throw HornbeamusherException.notRun(
           FailureType.FRAME_TOO_LONG, Integer.toUnsignedLong(length), MAX_FRAME_BYTES);
--- a/runtime/src/main/java/org/hornbeamusher/wire/LoopConnection.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/LoopConnection.java
@@ -11,17 +11,23 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** A connection of a {@link LoopTransport}; confined to its thread but for {@link #send}. */
+/**
+ * A connection of a {@link LoopTransport}, confined to its I/O thread. {@link #send}, {@link #stop}
+ * and the queries may be called from any thread.
+ */
 final class LoopConnection implements WireConnection {
 
-  /** A turn's messages of a busy peer; more is read in the next turn. */
+  /**
+   * Enough for the messages that a busy peer sends per iteration of the event loop; further bytes
+   * are read in the next iteration.
+   */
   private static final int READ_BYTES = 4 * 1024;
 
   /**
-   * Seconds of what is sent to a busy peer; one that leaves so much unread has stopped reading. A
-   * message that is larger than that waits for its own bytes only.
+   * Several seconds of traffic to a busy peer; a peer that leaves more than this unread has stopped
+   * reading. The limit is checked before a message is added, so a single message may be larger.
    */
-  private static final int MOST_WAITING_BYTES = 1024 * 1024;
+  private static final int MAX_UNSENT_BYTES = 1024 * 1024;
 
   private final LoopTransport transport;
   private final StreamConnection channel;
@@ -34,17 +40,20 @@
   private final FrameBuffer outgoing = new FrameBuffer();
   private volatile boolean open = true;
 
-  /** Whether a message of more than a read is arriving. */
+  /** Whether at least {@link #READ_BYTES} of an incomplete message have arrived. */
   private volatile boolean receiving;
 
-  /** Whether a write at the end of this turn, or when the peer has read, is due already. */
-  private boolean flushing;
+  /**
+   * Whether a flush is scheduled already: for the end of this iteration of the event loop, or for
+   * when the socket is writable.
+   */
+  private boolean flushScheduled;
 
-  /** Whether anything was sent since the last heartbeat was due; the peer has heard of us then. */
-  private boolean spoken;
+  /** Whether anything was sent since the last {@link #tick}; if so, the peer needs no heartbeat. */
+  private boolean sentSinceTick;
 
-  private long toldDigest;
-  private long heartbeats;
+  private long sentDigest;
+  private long heartbeatsSent;
 
   LoopConnection(
       LoopTransport transport, StreamConnection channel, Message.Hello own, WireListener listener) {
@@ -60,10 +69,10 @@
             settings.heartbeatMillis(),
             Math.toIntExact(settings.silenceMillis() / settings.heartbeatMillis()),
             transport.clock().millis());
-    source.getReadSetter().set(ready -> readable());
+    source.getReadSetter().set(ready -> read());
     sink.getWriteSetter().set(ready -> flush());
-    put(own);
-    transport.opened(this);
+    enqueue(own);
+    transport.register(this);
     source.resumeReads();
   }
 
@@ -72,7 +81,7 @@
     if (!open) {
       return false;
     }
-    transport.run(() -> put(message));
+    transport.run(() -> enqueue(message));
     return open;
   }
 
@@ -96,18 +105,18 @@
     transport.run(() -> fail(closedFailure()));
   }
 
-  private void put(Message message) {
+  private void enqueue(Message message) {
     if (!open) {
       return;
     }
-    if (outgoing.length() > MOST_WAITING_BYTES) {
-      fail(silentFailure());
+    if (outgoing.length() > MAX_UNSENT_BYTES) {
+      fail(timeoutFailure());
       return;
     }
     outgoing.putFrame(MessageCodec.encode(message));
-    spoken = true;
-    if (!flushing) {
-      flushing = true;
+    sentSinceTick = true;
+    if (!flushScheduled) {
+      flushScheduled = true;
       transport.thread().execute(this::flush);
     }
   }
@@ -117,14 +126,14 @@
       return;
     }
     try {
-      ByteBuffer bytes = outgoing.readable();
+      ByteBuffer bytes = outgoing.beginRead();
       while (bytes.hasRemaining() && sink.write(bytes) > 0) {
-        // Written as far as the peer has room.
+        // Writes until the socket accepts no more.
       }
-      boolean whole = !bytes.hasRemaining();
-      outgoing.read();
-      if (whole) {
-        flushing = false;
+      boolean allWritten = !bytes.hasRemaining();
+      outgoing.endRead();
+      if (allWritten) {
+        flushScheduled = false;
         sink.suspendWrites();
       } else {
         sink.resumeWrites();
@@ -134,10 +143,10 @@
     }
   }
 
-  private void readable() {
+  private void read() {
     try {
-      int count = source.read(incoming.writable(READ_BYTES));
-      incoming.written();
+      int count = source.read(incoming.beginWrite(READ_BYTES));
+      incoming.endWrite();
       if (count < 0) {
         fail(closedFailure());
       } else if (count > 0) {
@@ -149,8 +158,8 @@
     } catch (HornbeamusherException e) {
       fail(e);
     } catch (RuntimeException e) {
-      // A message whose fields make no sense to the listener, such as a name in no alphabet of
-      // ours. Without this the connection would stay open with nobody reading.
+      // The listener rejected a field, such as a name with characters that are not allowed.
+      // Without this catch the connection would stay open with nobody reading it.
       fail(
           HornbeamusherException.of(FailureType.FRAME_MALFORMED, Outcome.UNKNOWN, e.getMessage())
               .causedBy(e));
@@ -166,42 +175,42 @@
     receiving = incoming.length() >= READ_BYTES;
   }
 
-  /** Called once in each heartbeat's interval. */
+  /** Sends a heartbeat if one is due and checks the heartbeat timeout; called once per interval. */
   void tick() {
     if (!open) {
       return;
     }
     long digest = listener.digest();
-    if (!spoken || digest != toldDigest) {
-      put(new Message.Heartbeat(heartbeats++, digest));
-      toldDigest = digest;
+    if (!sentSinceTick || digest != sentDigest) {
+      enqueue(new Message.Heartbeat(heartbeatsSent++, digest));
+      sentDigest = digest;
     }
-    spoken = false;
+    sentSinceTick = false;
     long now = transport.clock().millis();
     receiving &= monitor.silentMillis(now) < transport.settings().silenceMillis() / 2;
     if (monitor.silent(now)) {
-      fail(silentFailure());
+      fail(timeoutFailure());
     }
   }
 
-  private HornbeamusherException silentFailure() {
-    return session.silent(monitor.silentMillis(transport.clock().millis()), this::address);
+  private HornbeamusherException timeoutFailure() {
+    return session.timeoutFailure(monitor.silentMillis(transport.clock().millis()), this::address);
   }
 
   private HornbeamusherException closedFailure() {
-    return session.closed(this::address);
+    return session.closedFailure(this::address);
   }
 
   private String address() {
     return String.valueOf(channel.getPeerAddress());
   }
 
-  private void fail(HornbeamusherException why) {
+  private void fail(HornbeamusherException reason) {
     if (open) {
       open = false;
-      transport.closed(this);
+      transport.unregister(this);
       IoUtils.safeClose(channel);
-      listener.closed(this, why);
+      listener.closed(this, reason);
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/wire/LoopConnector.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/LoopConnector.java
@@ -10,8 +10,8 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Keeps one connection to a peer for a {@link LoopTransport}: opens it, and opens a new one
- * whenever it ends, as {@link ConnectPace} says.
+ * Keeps one connection of a {@link LoopTransport} to a peer open: connects, and reconnects whenever
+ * the connection is closed, with the delays and timeouts of {@link ConnectBackoff}.
  */
 public final class LoopConnector implements WireService {
 
@@ -21,7 +21,7 @@
   private final InetSocketAddress address;
   private final Message.Hello own;
   private final WireListener listener;
-  private final ConnectPace pace;
+  private final ConnectBackoff backoff;
   private WireConnection current;
   private boolean stopped;
 
@@ -34,7 +34,7 @@
     this.address = address;
     this.own = own;
     this.listener = listener;
-    this.pace = new ConnectPace(transport.settings().connectMillis());
+    this.backoff = new ConnectBackoff(transport.settings().connectMillis());
   }
 
   @Override
@@ -59,27 +59,27 @@
     }
     IoFuture<StreamConnection> opening =
         transport.thread().openStreamConnection(address, opened -> {}, null, OPTIONS);
-    XnioExecutor.Key patience = transport.later(opening::cancel, pace.patienceMillis());
+    XnioExecutor.Key timeout = transport.schedule(opening::cancel, backoff.connectTimeoutMillis());
     opening.addNotifier(
         (ended, unused) -> {
-          patience.remove();
-          transport.run(() -> opened(ended));
+          timeout.remove();
+          transport.run(() -> connectEnded(ended));
         },
         null);
   }
 
-  private void opened(IoFuture<? extends StreamConnection> opening) {
+  private void connectEnded(IoFuture<? extends StreamConnection> opening) {
     if (opening.getStatus() != IoFuture.Status.DONE) {
-      pace.failed();
-      connectLater();
+      backoff.failed();
+      scheduleConnect();
       return;
     }
     try {
-      current = new LoopConnection(transport, opening.get(), own, new EndSignal());
+      current = new LoopConnection(transport, opening.get(), own, new ReconnectListener());
     } catch (IOException e) {
-      // A finished future that does not give its result has none.
-      pace.failed();
-      connectLater();
+      // A finished future without a result counts as a failed attempt.
+      backoff.failed();
+      scheduleConnect();
       return;
     }
     if (stopped) {
@@ -87,15 +87,15 @@
     }
   }
 
-  private void connectLater() {
+  private void scheduleConnect() {
     if (!stopped) {
-      transport.later(this::connect, pace.pauseMillis());
+      transport.schedule(this::connect, backoff.retryDelayMillis());
     }
   }
 
-  private final class EndSignal extends ForwardingListener {
+  private final class ReconnectListener extends ForwardingListener {
 
-    EndSignal() {
+    ReconnectListener() {
       super(listener);
     }
 
@@ -103,11 +103,11 @@
     public void closed(WireConnection connection, HornbeamusherException reason) {
       super.closed(connection, reason);
       if (connection.peer() == null) {
-        pace.failed();
+        backoff.failed();
       } else {
-        pace.succeeded();
+        backoff.succeeded();
       }
-      connectLater();
+      scheduleConnect();
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/wire/LoopServer.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/LoopServer.java
@@ -14,7 +14,7 @@
 import org.xnio.StreamConnection;
 import org.xnio.channels.AcceptingChannel;
 
-/** Accepts connections of peers for a {@link LoopTransport}. */
+/** Accepts connections from peers on the I/O thread of a {@link LoopTransport}. */
 public final class LoopServer implements WireService {
 
   private static final OptionMap OPTIONS =
@@ -29,7 +29,7 @@
   private final Message.Hello own;
   private final WireListener listener;
 
-  /** Confined to the transport's thread. */
+  /** Confined to the I/O thread of the transport. */
   private final Set<WireConnection> connections = new HashSet<>();
 
   private AcceptingChannel<StreamConnection> server;
@@ -61,7 +61,7 @@
   }
 
   private void accepted(StreamConnection channel) {
-    connections.add(new LoopConnection(transport, channel, own, new Tracking()));
+    connections.add(new LoopConnection(transport, channel, own, new ConnectionTracker()));
   }
 
   @Override
@@ -71,7 +71,7 @@
   }
 
   /**
-   * Returns where the server listens.
+   * Returns the address that the server listens on.
    *
    * @return the bound address
    */
@@ -79,9 +79,9 @@
     return server.getLocalAddress(InetSocketAddress.class);
   }
 
-  private final class Tracking extends ForwardingListener {
+  private final class ConnectionTracker extends ForwardingListener {
 
-    Tracking() {
+    ConnectionTracker() {
       super(listener);
     }
 
--- a/runtime/src/main/java/org/hornbeamusher/wire/LoopTransport.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/LoopTransport.java
@@ -12,16 +12,18 @@
 import org.xnio.XnioWorker;
 
 /**
- * Connections that share the one I/O thread on which a process decides.
+ * Runs all connections on the single I/O thread that also runs the process's event loop.
  *
- * <p>An entry has a connection to every agent and an agent one to every entry, and most of what
- * they carry is a few bytes that change what the process believes. On threads of their own, a
- * message wakes a reader, which wakes the thread that decides, which wakes a writer; here it is
- * read, decided on and answered in one turn of the loop. What is sent in a turn leaves in one write
- * at its end, and one timer serves the heartbeats of all connections.
+ * <p>An entry has a connection to every agent and an agent has one to every entry, and most
+ * messages are a few bytes that update the state of the process. With threads per connection, a
+ * message wakes a reader thread, which wakes the thread of the event loop, which wakes a writer
+ * thread; here it is read, handled and answered in one iteration of the loop. The messages sent
+ * during an iteration are written together at its end, and one timer serves the heartbeats of all
+ * connections.
  *
- * <p>Everything but the making of services is confined to that thread; calls from others are handed
- * over to it. Connections are plain: TLS needs {@link WireServer} and {@link WireConnector}.
+ * <p>Everything except the creation of services is confined to that thread; calls from other
+ * threads are handed over to it. Connections are not encrypted: TLS needs {@link WireServer} and
+ * {@link WireConnector}.
  */
 public final class LoopTransport implements WireTransport {
 
@@ -30,13 +32,13 @@
   private final WireSettings settings;
   private final Clock clock;
   private final Set<LoopConnection> connections = new LinkedHashSet<>();
-  private boolean ticking;
+  private boolean tickScheduled;
 
   /**
    * Creates a transport.
    *
    * @param worker a started worker with a single I/O thread
-   * @param settings intervals and bounds
+   * @param settings intervals and limits
    * @param clock monotonic
    */
   public LoopTransport(XnioWorker worker, WireSettings settings, Clock clock) {
@@ -73,7 +75,10 @@
     return clock;
   }
 
-  /** Runs a task on the thread: now if this is it. A worker that was stopped runs nothing more. */
+  /**
+   * Runs a task on the I/O thread, at once if called from it; discards it when the worker has
+   * stopped.
+   */
   void run(Runnable task) {
     if (Thread.currentThread() == thread) {
       task.run();
@@ -86,37 +91,37 @@
     }
   }
 
-  /** Runs a task later; the key takes it back. */
-  XnioExecutor.Key later(Runnable task, long millis) {
+  /** Runs a task on the I/O thread after a delay; the key cancels it. */
+  XnioExecutor.Key schedule(Runnable task, long millis) {
     try {
       return thread.executeAfter(task, millis, TimeUnit.MILLISECONDS);
     } catch (RejectedExecutionException e) {
-      // The worker has been stopped: nothing is later any more.
+      // The worker has been stopped and runs no more tasks.
       return () -> false;
     }
   }
 
-  void opened(LoopConnection connection) {
+  void register(LoopConnection connection) {
     connections.add(connection);
-    if (!ticking) {
-      ticking = true;
-      tickLater();
+    if (!tickScheduled) {
+      tickScheduled = true;
+      scheduleTick();
     }
   }
 
-  void closed(LoopConnection connection) {
+  void unregister(LoopConnection connection) {
     connections.remove(connection);
   }
 
-  private void tickLater() {
-    later(this::tick, settings.heartbeatMillis());
+  private void scheduleTick() {
+    schedule(this::tick, settings.heartbeatMillis());
   }
 
   private void tick() {
-    ticking = !connections.isEmpty();
+    tickScheduled = !connections.isEmpty();
     List.copyOf(connections).forEach(LoopConnection::tick);
-    if (ticking) {
-      tickLater();
+    if (tickScheduled) {
+      scheduleTick();
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/wire/Message.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/Message.java
@@ -4,26 +4,26 @@
 import java.util.Map;
 
 /**
- * What entries and agents say to each other.
+ * The messages between entries and agents.
  *
- * <p>A message travels as a MessagePack array: its type number, then its fields in order. A
- * receiver skips fields it does not know and takes the default (zero, empty) for fields that an
- * older sender left out, so that both directions of a rolling upgrade work; a type number it does
- * not know becomes {@link Unknown} and is ignored.
+ * <p>A message is encoded as a MessagePack array of its type number and its fields in order. A
+ * receiver skips fields it does not know and uses the default (zero, empty) for fields that an
+ * older sender omits, so that old and new releases work together in both directions during a
+ * rolling upgrade. A type number it does not know is decoded as {@link Unknown} and ignored.
  */
 public sealed interface Message {
 
   /**
    * The first message in both directions.
    *
-   * @param lowestProtocol the oldest protocol the sender speaks
-   * @param highestProtocol the newest protocol the sender speaks
+   * @param lowestProtocol the oldest protocol version that the sender supports
+   * @param highestProtocol the newest protocol version that the sender supports
    * @param role {@code entry} or {@code agent}
    * @param instance the sender's instance id
-   * @param incarnation tells the sender from an earlier process at its address
+   * @param incarnation distinguishes the sender from an earlier process at its address
    * @param zone the sender's availability zone
-   * @param endpoint an agent's endpoint, empty from an entry
-   * @param pool an agent's pool, empty from an entry
+   * @param endpoint the endpoint of an agent; empty from an entry
+   * @param pool the pool of an agent; empty from an entry
    */
   record Hello(
       int lowestProtocol,
@@ -37,28 +37,29 @@
       implements Message {}
 
   /**
-   * Run this attempt (entry to agent).
+   * Asks the agent to run an attempt (entry to agent).
    *
-   * @param attempt identifies it on this connection
-   * @param requestId the caller's request
-   * @param method HTTP method of the endpoint's request
+   * @param attempt identifies the attempt on this connection
+   * @param requestId the id of the caller's request
+   * @param method the HTTP method of the request to the endpoint
    * @param path its path and query
    * @param contentType its content type
-   * @param body its content
+   * @param body its body
    * @param adapter {@code service/adapter@version}, empty for a plain service
    * @param partner the partner
    * @param service the service
    * @param caller the caller
-   * @param costTokens expected work
-   * @param deadlineMillis when the answer is worthless, milliseconds since the epoch
-   * @param expiresMillis an attempt not started by then is dropped
+   * @param costTokens the expected work in tokens
+   * @param deadlineMillis the time after which the response is useless, milliseconds since the
+   *     epoch
+   * @param expiresMillis the time after which an attempt that has not started is discarded
    * @param loadStallWeight the service's weight of load stalls
    * @param batchWeight the service's weight of batch efficiency
    * @param serviceShare the service's part of its partner's share
    * @param callerWeight the caller's part of the service's share
-   * @param queueLimit most requests of the service that may wait
-   * @param idempotencyKey the caller's key, empty for a repeatable request
-   * @param credit how many bytes of answer may be sent before more credit comes
+   * @param queueLimit the maximum number of queued requests of the service
+   * @param idempotencyKey the caller's key; empty for a repeatable request
+   * @param credit the number of response bytes that may be sent before more credit is received
    */
   record Dispatch(
       long attempt,
@@ -84,24 +85,24 @@
       implements Message {}
 
   /**
-   * The endpoint has been given the attempt (agent to entry). From here on it may have run.
+   * The attempt is sent to the endpoint (agent to entry). From then on it may have run.
    *
    * @param attempt the attempt
-   * @param loadStallMillis how long it waited for a load
+   * @param loadStallMillis how long the attempt waited for an adapter load
    */
   record Started(long attempt, long loadStallMillis) implements Message {}
 
   /**
-   * The head of the endpoint's answer (agent to entry).
+   * The head of the endpoint's response (agent to entry).
    *
    * @param attempt the attempt
    * @param status the endpoint's HTTP status
-   * @param contentType the answer's content type
+   * @param contentType the content type of the response
    */
   record Head(long attempt, int status, String contentType) implements Message {}
 
   /**
-   * A part of the answer (agent to entry).
+   * A part of the response body (agent to entry).
    *
    * @param attempt the attempt
    * @param sequence counts the parts from 0
@@ -110,22 +111,22 @@
   record Chunk(long attempt, long sequence, byte[] bytes) implements Message {}
 
   /**
-   * The answer is whole (agent to entry).
+   * The response is complete (agent to entry).
    *
    * @param attempt the attempt
-   * @param chunks how many parts there were
+   * @param chunks the number of parts
    * @param checksum CRC-32C over all parts
    */
   record Closing(long attempt, long chunks, long checksum) implements Message {}
 
   /**
-   * The attempt ended without a whole answer (agent to entry).
+   * The attempt ended without a complete response (agent to entry).
    *
    * @param attempt the attempt
    * @param failure the failure's number in the catalogue
    * @param outcome {@code not-run}, {@code ran} or {@code unknown}
-   * @param retryAfterMillis when to try again, or -1
-   * @param detail fills the failure's message
+   * @param retryAfterMillis the delay before a retry, or -1
+   * @param detail the detail in the failure's message
    * @param crashed whether the endpoint crashed while it ran the attempt
    */
   record Failed(
@@ -138,38 +139,38 @@
       implements Message {}
 
   /**
-   * The caller no longer wants the attempt (entry to agent).
+   * Cancels an attempt (entry to agent).
    *
    * @param attempt the attempt
    */
   record Cancel(long attempt) implements Message {}
 
   /**
-   * More of the answer may be sent (entry to agent).
+   * Permits the agent to send more of the response (entry to agent).
    *
    * @param attempt the attempt
-   * @param bytes how much more
+   * @param bytes the number of further bytes
    */
   record Credit(long attempt, long bytes) implements Message {}
 
   /**
-   * The sender lives (both ways).
+   * Shows that the sender is alive (both directions).
    *
    * @param sequence counts the sender's heartbeats on this connection
-   * @param documents the sender's digest of documents, for spreading
+   * @param documents the sender's digest of documents, by which its peers detect newer versions
    */
   record Heartbeat(long sequence, long documents) implements Message {}
 
   /**
-   * What an agent's endpoint holds and does (agent to entry).
+   * The load of an agent's endpoint and its resident adapters (agent to entry).
    *
-   * @param running requests in the batch
-   * @param queued requests that wait
-   * @param batch most requests it runs at once
-   * @param slots most adapters it holds
-   * @param queueWaitMillis expected wait with a resident adapter
-   * @param loadWaitMillis expected wait for a load
-   * @param resident the adapters it holds, {@code service/adapter@version}
+   * @param running the number of requests in the batch
+   * @param queued the number of queued requests
+   * @param batch the maximum number of requests in the batch
+   * @param slots the maximum number of resident adapters
+   * @param queueWaitMillis the expected wait of a request whose adapter is resident
+   * @param loadWaitMillis the expected wait for an adapter load
+   * @param resident the resident adapters, {@code service/adapter@version}
    */
   record LoadReport(
       int running,
@@ -182,80 +183,82 @@
       implements Message {}
 
   /**
-   * The agent takes no new work (agent to entry), or the entry no more callers (entry to agent).
+   * The agent accepts no new requests (agent to entry), or the entry accepts no more callers (entry
+   * to agent).
    */
   record Leaving() implements Message {}
 
   /**
-   * The versions the sender holds (both ways).
+   * The versions of the sender's documents (both directions).
    *
-   * @param versions the version by service
+   * @param versions the versions by service
    */
   record DocumentDigest(Map<String, Long> versions) implements Message {}
 
   /**
-   * Asks for a document, or for a digest (both ways).
+   * Requests a document or the digest (both directions).
    *
-   * @param service the service; empty asks for the digest
-   * @param have the version the sender holds, 0 for none
+   * @param service the service; empty to request the digest
+   * @param have the sender's version; 0 for none
    */
   record DocumentPull(String service, long have) implements Message {}
 
   /**
-   * What the sender has of a document beyond what was asked for (both ways).
+   * The response to a {@link DocumentPull} for one document (both directions).
    *
    * @param service the service
-   * @param content the update as {@code DocumentCodec} writes it
+   * @param content the update as encoded by {@code DocumentCodec}
    */
   record DocumentPush(String service, byte[] content) implements Message {}
 
   /**
-   * An agent asks for a turn at the weight store (agent to agent).
+   * Requests a permit to load from the weight store (agent to agent).
    *
    * @param store the weight store
-   * @param endpoint who asks
-   * @param partner for whom
-   * @param demand weighted waiting demand; 0 withdraws
+   * @param endpoint the endpoint that requests the permit
+   * @param partner the partner for which the adapter is loaded
+   * @param demand the weighted demand of the queued requests; 0 withdraws the permit request
    */
   record PermitAsk(String store, String endpoint, String partner, double demand)
       implements Message {}
 
   /**
-   * A turn at the weight store (agent to agent).
+   * Grants a permit to load from the weight store (agent to agent).
    *
    * @param store the weight store
-   * @param grant identifies the turn
-   * @param expiresMillis when the turn ends by itself
+   * @param grant identifies the permit
+   * @param expiresMillis the time at which the permit expires
    */
   record PermitGrant(String store, long grant, long expiresMillis) implements Message {}
 
   /**
-   * The turn is over (agent to agent).
+   * Releases a permit (agent to agent).
    *
    * @param store the weight store
-   * @param grant the turn
+   * @param grant the permit
    */
   record PermitDone(String store, long grant) implements Message {}
 
   /**
-   * Endpoints crashed while they ran this request (both ways).
+   * Reports that endpoints crashed while they ran a request (both directions).
    *
-   * @param fingerprint identifies the request's content
-   * @param crashes how many endpoints crashed
+   * @param fingerprint identifies the content of the request
+   * @param crashes the number of endpoints that crashed
    */
   record CrashNotice(long fingerprint, int crashes) implements Message {}
 
   /**
-   * A request is at the agent's endpoint, or wants an adapter to be loaded there (entry to agent).
+   * Reports a request that is sent to the agent's endpoint, or that needs an adapter to be loaded
+   * there first (entry to agent).
    *
-   * @param reservation counts the entry's reservations on this connection
-   * @param requestId the caller's request
+   * @param reservation the number of the reservation, counted by the entry on this connection
+   * @param requestId the id of the caller's request
    * @param adapter {@code model/adapter}, or the model alone
    * @param version the adapter's version
-   * @param rank the request's urgency, 0 first
-   * @param unreadTokens how much of its prompt has to be read
-   * @param waitMillis for how long a place is of use
-   * @param aimMillis how soon its first event should come; negative when it is late already
+   * @param rank the priority of the request; 0 is the highest
+   * @param unreadTokens the tokens of its prompt that have to be processed
+   * @param waitMillis for how long the request can wait for an adapter slot
+   * @param aimMillis the time until its first event is due; negative when that is overdue
    */
   record Reserve(
       long reservation,
@@ -269,35 +272,35 @@
       implements Message {}
 
   /**
-   * The adapter of a reservation can be used (agent to entry).
+   * The adapter of a reservation is ready (agent to entry).
    *
    * @param reservation the reservation
    */
   record Granted(long reservation) implements Message {}
 
   /**
-   * The endpoint has read the prompt of a request (entry to agent).
+   * The endpoint has processed the prompt of a request (entry to agent).
    *
    * @param reservation the reservation
    */
   record PromptRead(long reservation) implements Message {}
 
   /**
-   * A request has ended or is not wanted any more (entry to agent).
+   * Releases a reservation because its request has ended or was cancelled (entry to agent).
    *
    * @param reservation the reservation
    */
   record Release(long reservation) implements Message {}
 
   /**
-   * What an agent's endpoint holds; sent when it changes (agent to entry).
+   * The models and adapters of an agent's endpoint; sent when they change (agent to entry).
    *
-   * @param endpoint the endpoint's id; empty while it is down
-   * @param held what can be used, {@code model/adapter@version}
-   * @param coming what is on its way
-   * @param entries how many entries there are, by what the agent knows
-   * @param leaving whether the endpoint takes no new work
-   * @param startMillis when this life of the endpoint started; 0 when that is not known
+   * @param endpoint the id of the endpoint; empty while it is down
+   * @param held those that are ready, {@code model/adapter@version}
+   * @param coming those that are being loaded
+   * @param entries the number of entries that the agent knows of
+   * @param leaving whether the endpoint accepts no new requests
+   * @param startMillis the start of this incarnation of the endpoint; 0 when unknown
    */
   record Holdings(
       String endpoint,
@@ -309,52 +312,52 @@
       implements Message {}
 
   /**
-   * What other entries have at the agent's endpoint (agent to entry).
+   * The load of the agent's endpoint by other entries (agent to entry).
    *
-   * @param requests running or waiting
-   * @param unreadTokens of their prompts
-   * @param sparePlaces places for adapters that a load could have at once, less those that wait for
-   *     one; negative when adapters wait for a place
+   * @param requests the number of running or waiting requests
+   * @param unreadTokens the tokens of their prompts that are not processed yet
+   * @param sparePlaces the adapter slots that are available for loads at once, minus the adapters
+   *     that wait for a slot; negative when more adapters wait
    */
   record PeerLoad(int requests, long unreadTokens, int sparePlaces) implements Message {}
 
   /**
-   * What it costs to have an adapter at the agent's engine, as far as the agent has learnt (agent
-   * to entry).
+   * The costs of loading an adapter at the agent's engine, as estimated from the loads so far
+   * (agent to entry).
    *
-   * @param storeMillis a load from the weight store
-   * @param copyMillis a load of which the engine has a copy
-   * @param placeMillis until a place is free for the next adapter that waits for one
-   * @param copies adapters outside its places that the engine has copies of
+   * @param storeMillis the time of a load from the weight store
+   * @param copyMillis the time of a load from the engine's cache of adapter copies
+   * @param placeMillis the time until a slot is free for the next adapter that waits for one
+   * @param copies the number of evicted adapters that the engine still has cached
    */
   record EngineCosts(long storeMillis, long copyMillis, long placeMillis, int copies)
       implements Message {}
 
   /**
-   * What an entry has admitted of client accounts' quotas (entry to agent).
+   * The usage of client accounts' quotas that the entry has admitted (entry to agent).
    *
-   * @param increments units by account since the last report on this connection; negative for
-   *     requests that did not run after all
+   * @param increments the units by account since the last report on this connection; negative to
+   *     refund requests that did not run
    */
   record UsageReport(Map<String, Long> increments) implements Message {}
 
   /**
-   * What the other entries have admitted of client accounts' quotas (agent to entry).
+   * The usage of client accounts' quotas that other entries have admitted (agent to entry).
    *
-   * @param increments units by account since the last update on this connection
-   * @param reachable entries that report to the agent, the receiver included
-   * @param entries entries that are connected to the agent
+   * @param increments the units by account since the last update on this connection
+   * @param reachable the number of entries that report to the agent, including the receiver
+   * @param entries the number of entries that are connected to the agent
    */
   record UsageUpdate(Map<String, Long> increments, int reachable, int entries) implements Message {}
 
   /**
-   * Asks whether a request may be sent to an endpoint that limits the rate of its requests (entry
-   * to agent).
+   * Requests a permit to send a request to an endpoint that advertises a rate limit (entry to
+   * agent).
    *
-   * @param number counts the entry's questions
-   * @param endpoint the endpoint's id
-   * @param perSecond the limit that the endpoint stated to the entry
-   * @param statedAgoMillis how long ago it did
+   * @param number the number of the permit request, counted by the entry
+   * @param endpoint the id of the endpoint
+   * @param perSecond the rate limit that the endpoint advertised to the entry
+   * @param statedAgoMillis the time since it advertised the limit
    * @param mostWaitMillis how long the request can wait
    */
   record RatePermitRequest(
@@ -362,25 +365,26 @@
       implements Message {}
 
   /**
-   * Whether a request may be sent to an endpoint that limits the rate of its requests (agent to
-   * entry).
+   * Grants or refuses a permit to send a request to an endpoint that advertises a rate limit (agent
+   * to entry).
    *
-   * @param number the entry's question
-   * @param granted whether it may
-   * @param waitMillis after how long; or when the next permit is free
+   * @param number the number of the permit request
+   * @param granted whether the permit is granted
+   * @param waitMillis the delay before the request may be sent; if refused, the time until the next
+   *     permit is available
    */
   record RatePermitReply(long number, boolean granted, long waitMillis) implements Message {}
 
   /**
-   * An endpoint that limited the rate of its requests states no limit any more (entry to agent).
+   * An endpoint no longer advertises a rate limit (entry to agent).
    *
-   * @param endpoint the endpoint's id
-   * @param sentAgoMillis how long ago the request was sent whose answer showed it
+   * @param endpoint the id of the endpoint
+   * @param sentAgoMillis the time since the request was sent whose response shows this
    */
   record RateLimitLifted(String endpoint, long sentAgoMillis) implements Message {}
 
   /**
-   * A message of a type this process does not know; it is ignored.
+   * A message of a type that this process does not know; it is ignored.
    *
    * @param type the type number
    */
--- a/runtime/src/main/java/org/hornbeamusher/wire/MessageCodec.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/MessageCodec.java
@@ -11,7 +11,7 @@
 import org.msgpack.core.MessagePacker;
 import org.msgpack.core.MessageUnpacker;
 
-/** Turns messages into frame contents and back. Type numbers are never reused. */
+/** Encodes messages as the contents of frames and decodes them. Type numbers are never reused. */
 public final class MessageCodec {
 
   private static final int HELLO = 1;
@@ -47,10 +47,10 @@
   private static final int RATE_LIMIT_LIFTED = 31;
 
   /**
-   * Most messages carry one token or less. The default of 8 KiB, allocated for each message, was a
-   * fifth of all that the process allocated; a longer message takes more buffers of this size.
+   * Most messages carry at most one token. The default buffer of 8 KiB for each message was a fifth
+   * of all allocations of the process; a longer message uses several buffers of this size.
    */
-  private static final MessagePack.PackerConfig PACKER =
+  private static final MessagePack.PackerConfig PACKER_CONFIG =
       new MessagePack.PackerConfig().withBufferSize(512);
 
   private MessageCodec() {}
@@ -58,11 +58,11 @@
   /**
    * Encodes a message.
    *
-   * @param message what to send
+   * @param message the message
    * @return the frame's content
    */
   public static byte[] encode(Message message) {
-    try (MessageBufferPacker packer = PACKER.newBufferPacker()) {
+    try (MessageBufferPacker packer = PACKER_CONFIG.newBufferPacker()) {
       pack(packer, message);
       return packer.toByteArray();
     } catch (IOException e) {
@@ -74,8 +74,9 @@
    * Decodes a message.
    *
    * @param frame the frame's content
-   * @return the message, {@link Message.Unknown} for a type number not known here
-   * @throws HornbeamusherException of type {@code FRAME_MALFORMED} for anything else
+   * @return the message, {@link Message.Unknown} for an unknown type number
+   * @throws HornbeamusherException of type {@code FRAME_MALFORMED} when the content is not a valid
+   *     message
    */
   public static Message decode(byte[] frame) {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(frame)) {
@@ -100,7 +101,7 @@
   private static void pack(MessagePacker p, Message message) throws IOException {
     switch (message) {
       case Message.Hello m ->
-          begin(p, HELLO, 8)
+          packHeader(p, HELLO, 8)
               .packInt(m.lowestProtocol())
               .packInt(m.highestProtocol())
               .packString(m.role())
@@ -111,49 +112,56 @@
               .packString(m.pool());
       case Message.Dispatch m -> packDispatch(p, m);
       case Message.Started m ->
-          begin(p, STARTED, 2).packLong(m.attempt()).packLong(m.loadStallMillis());
+          packHeader(p, STARTED, 2).packLong(m.attempt()).packLong(m.loadStallMillis());
       case Message.Head m ->
-          begin(p, HEAD, 3).packLong(m.attempt()).packInt(m.status()).packString(m.contentType());
+          packHeader(p, HEAD, 3)
+              .packLong(m.attempt())
+              .packInt(m.status())
+              .packString(m.contentType());
       case Message.Chunk m ->
-          packBytes(begin(p, CHUNK, 3).packLong(m.attempt()).packLong(m.sequence()), m.bytes());
+          packBytes(
+              packHeader(p, CHUNK, 3).packLong(m.attempt()).packLong(m.sequence()), m.bytes());
       case Message.Closing m ->
-          begin(p, CLOSING, 3).packLong(m.attempt()).packLong(m.chunks()).packLong(m.checksum());
+          packHeader(p, CLOSING, 3)
+              .packLong(m.attempt())
+              .packLong(m.chunks())
+              .packLong(m.checksum());
       case Message.Failed m ->
-          begin(p, FAILED, 6)
+          packHeader(p, FAILED, 6)
               .packLong(m.attempt())
               .packInt(m.failure())
               .packString(m.outcome())
               .packLong(m.retryAfterMillis())
               .packString(m.detail())
               .packBoolean(m.crashed());
-      case Message.Cancel m -> begin(p, CANCEL, 1).packLong(m.attempt());
-      case Message.Credit m -> begin(p, CREDIT, 2).packLong(m.attempt()).packLong(m.bytes());
+      case Message.Cancel m -> packHeader(p, CANCEL, 1).packLong(m.attempt());
+      case Message.Credit m -> packHeader(p, CREDIT, 2).packLong(m.attempt()).packLong(m.bytes());
       case Message.Heartbeat m ->
-          begin(p, HEARTBEAT, 2).packLong(m.sequence()).packLong(m.documents());
+          packHeader(p, HEARTBEAT, 2).packLong(m.sequence()).packLong(m.documents());
       case Message.LoadReport m -> packLoadReport(p, m);
-      case Message.Leaving m -> begin(p, LEAVING, 0);
-      case Message.DocumentDigest m -> packNumbers(begin(p, DOCUMENT_DIGEST, 1), m.versions());
+      case Message.Leaving m -> packHeader(p, LEAVING, 0);
+      case Message.DocumentDigest m -> packLongs(packHeader(p, DOCUMENT_DIGEST, 1), m.versions());
       case Message.DocumentPull m ->
-          begin(p, DOCUMENT_PULL, 2).packString(m.service()).packLong(m.have());
+          packHeader(p, DOCUMENT_PULL, 2).packString(m.service()).packLong(m.have());
       case Message.DocumentPush m ->
-          packBytes(begin(p, DOCUMENT_PUSH, 2).packString(m.service()), m.content());
+          packBytes(packHeader(p, DOCUMENT_PUSH, 2).packString(m.service()), m.content());
       case Message.PermitAsk m ->
-          begin(p, PERMIT_ASK, 4)
+          packHeader(p, PERMIT_ASK, 4)
               .packString(m.store())
               .packString(m.endpoint())
               .packString(m.partner())
               .packDouble(m.demand());
       case Message.PermitGrant m ->
-          begin(p, PERMIT_GRANT, 3)
+          packHeader(p, PERMIT_GRANT, 3)
               .packString(m.store())
               .packLong(m.grant())
               .packLong(m.expiresMillis());
       case Message.PermitDone m ->
-          begin(p, PERMIT_DONE, 2).packString(m.store()).packLong(m.grant());
+          packHeader(p, PERMIT_DONE, 2).packString(m.store()).packLong(m.grant());
       case Message.CrashNotice m ->
-          begin(p, CRASH_NOTICE, 2).packLong(m.fingerprint()).packInt(m.crashes());
+          packHeader(p, CRASH_NOTICE, 2).packLong(m.fingerprint()).packInt(m.crashes());
       case Message.Reserve m ->
-          begin(p, RESERVE, 8)
+          packHeader(p, RESERVE, 8)
               .packLong(m.reservation())
               .packString(m.requestId())
               .packString(m.adapter())
@@ -162,46 +170,46 @@
               .packLong(m.unreadTokens())
               .packLong(m.waitMillis())
               .packLong(m.aimMillis());
-      case Message.Granted m -> begin(p, GRANTED, 1).packLong(m.reservation());
-      case Message.PromptRead m -> begin(p, PROMPT_READ, 1).packLong(m.reservation());
-      case Message.Release m -> begin(p, RELEASE, 1).packLong(m.reservation());
+      case Message.Granted m -> packHeader(p, GRANTED, 1).packLong(m.reservation());
+      case Message.PromptRead m -> packHeader(p, PROMPT_READ, 1).packLong(m.reservation());
+      case Message.Release m -> packHeader(p, RELEASE, 1).packLong(m.reservation());
       case Message.Holdings m -> packHoldings(p, m);
       case Message.PeerLoad m ->
-          begin(p, PEER_LOAD, 3)
+          packHeader(p, PEER_LOAD, 3)
               .packInt(m.requests())
               .packLong(m.unreadTokens())
               .packInt(m.sparePlaces());
       case Message.EngineCosts m ->
-          begin(p, ENGINE_COSTS, 4)
+          packHeader(p, ENGINE_COSTS, 4)
               .packLong(m.storeMillis())
               .packLong(m.copyMillis())
               .packLong(m.placeMillis())
               .packInt(m.copies());
-      case Message.UsageReport m -> packNumbers(begin(p, USAGE_REPORT, 1), m.increments());
+      case Message.UsageReport m -> packLongs(packHeader(p, USAGE_REPORT, 1), m.increments());
       case Message.UsageUpdate m -> {
-        packNumbers(begin(p, USAGE_UPDATE, 3), m.increments());
+        packLongs(packHeader(p, USAGE_UPDATE, 3), m.increments());
         p.packInt(m.reachable()).packInt(m.entries());
       }
       case Message.RatePermitRequest m ->
-          begin(p, RATE_PERMIT_REQUEST, 5)
+          packHeader(p, RATE_PERMIT_REQUEST, 5)
               .packLong(m.number())
               .packString(m.endpoint())
               .packDouble(m.perSecond())
               .packLong(m.statedAgoMillis())
               .packLong(m.mostWaitMillis());
       case Message.RatePermitReply m ->
-          begin(p, RATE_PERMIT_REPLY, 3)
+          packHeader(p, RATE_PERMIT_REPLY, 3)
               .packLong(m.number())
               .packBoolean(m.granted())
               .packLong(m.waitMillis());
       case Message.RateLimitLifted m ->
-          begin(p, RATE_LIMIT_LIFTED, 2).packString(m.endpoint()).packLong(m.sentAgoMillis());
-      case Message.Unknown m -> begin(p, m.type(), 0);
+          packHeader(p, RATE_LIMIT_LIFTED, 2).packString(m.endpoint()).packLong(m.sentAgoMillis());
+      case Message.Unknown m -> packHeader(p, m.type(), 0);
     }
   }
 
   private static void packDispatch(MessagePacker p, Message.Dispatch m) throws IOException {
-    begin(p, DISPATCH, 20)
+    packHeader(p, DISPATCH, 20)
         .packLong(m.attempt())
         .packString(m.requestId())
         .packString(m.method())
@@ -225,7 +233,7 @@
   }
 
   private static void packLoadReport(MessagePacker p, Message.LoadReport m) throws IOException {
-    begin(p, LOAD_REPORT, 7)
+    packHeader(p, LOAD_REPORT, 7)
         .packInt(m.running())
         .packInt(m.queued())
         .packInt(m.batch())
@@ -238,24 +246,24 @@
     }
   }
 
-  private static void packNumbers(MessagePacker p, Map<String, Long> numbers) throws IOException {
-    p.packMapHeader(numbers.size());
-    for (Map.Entry<String, Long> entry : numbers.entrySet()) {
+  private static void packLongs(MessagePacker p, Map<String, Long> longs) throws IOException {
+    p.packMapHeader(longs.size());
+    for (Map.Entry<String, Long> entry : longs.entrySet()) {
       p.packString(entry.getKey()).packLong(entry.getValue());
     }
   }
 
   private static void packHoldings(MessagePacker p, Message.Holdings m) throws IOException {
-    begin(p, HOLDINGS, 6).packString(m.endpoint());
-    packTexts(p, m.held());
-    packTexts(p, m.coming());
+    packHeader(p, HOLDINGS, 6).packString(m.endpoint());
+    packStrings(p, m.held());
+    packStrings(p, m.coming());
     p.packInt(m.entries()).packBoolean(m.leaving()).packLong(m.startMillis());
   }
 
-  private static void packTexts(MessagePacker p, List<String> texts) throws IOException {
-    p.packArrayHeader(texts.size());
-    for (String text : texts) {
-      p.packString(text);
+  private static void packStrings(MessagePacker p, List<String> strings) throws IOException {
+    p.packArrayHeader(strings.size());
+    for (String string : strings) {
+      p.packString(string);
     }
   }
 
@@ -263,7 +271,8 @@
     return p.packBinaryHeader(bytes.length).writePayload(bytes);
   }
 
-  private static MessagePacker begin(MessagePacker p, int type, int fields) throws IOException {
+  private static MessagePacker packHeader(MessagePacker p, int type, int fields)
+      throws IOException {
     return p.packArrayHeader(fields + 1).packInt(type);
   }
 
@@ -271,92 +280,108 @@
     return switch (type) {
       case HELLO ->
           new Message.Hello(
-              r.integer(),
-              r.integer(),
-              r.text(),
-              r.text(),
-              r.number(),
-              r.text(),
-              r.text(),
-              r.text());
+              r.readInt(),
+              r.readInt(),
+              r.readString(),
+              r.readString(),
+              r.readLong(),
+              r.readString(),
+              r.readString(),
+              r.readString());
       case DISPATCH -> readDispatch(r);
-      case STARTED -> new Message.Started(r.number(), r.number());
-      case HEAD -> new Message.Head(r.number(), r.integer(), r.text());
-      case CHUNK -> new Message.Chunk(r.number(), r.number(), r.bytes());
-      case CLOSING -> new Message.Closing(r.number(), r.number(), r.number());
+      case STARTED -> new Message.Started(r.readLong(), r.readLong());
+      case HEAD -> new Message.Head(r.readLong(), r.readInt(), r.readString());
+      case CHUNK -> new Message.Chunk(r.readLong(), r.readLong(), r.readBytes());
+      case CLOSING -> new Message.Closing(r.readLong(), r.readLong(), r.readLong());
       case FAILED ->
-          new Message.Failed(r.number(), r.integer(), r.text(), r.number(), r.text(), r.flag());
-      case CANCEL -> new Message.Cancel(r.number());
-      case CREDIT -> new Message.Credit(r.number(), r.number());
-      case HEARTBEAT -> new Message.Heartbeat(r.number(), r.number());
+          new Message.Failed(
+              r.readLong(),
+              r.readInt(),
+              r.readString(),
+              r.readLong(),
+              r.readString(),
+              r.readBoolean());
+      case CANCEL -> new Message.Cancel(r.readLong());
+      case CREDIT -> new Message.Credit(r.readLong(), r.readLong());
+      case HEARTBEAT -> new Message.Heartbeat(r.readLong(), r.readLong());
       case LOAD_REPORT -> readLoadReport(r);
       case LEAVING -> new Message.Leaving();
-      case DOCUMENT_DIGEST -> new Message.DocumentDigest(r.numbersByText());
-      case DOCUMENT_PULL -> new Message.DocumentPull(r.text(), r.number());
-      case DOCUMENT_PUSH -> new Message.DocumentPush(r.text(), r.bytes());
-      case PERMIT_ASK -> new Message.PermitAsk(r.text(), r.text(), r.text(), r.real());
-      case PERMIT_GRANT -> new Message.PermitGrant(r.text(), r.number(), r.number());
-      case PERMIT_DONE -> new Message.PermitDone(r.text(), r.number());
-      case CRASH_NOTICE -> new Message.CrashNotice(r.number(), r.integer());
+      case DOCUMENT_DIGEST -> new Message.DocumentDigest(r.readLongsByString());
+      case DOCUMENT_PULL -> new Message.DocumentPull(r.readString(), r.readLong());
+      case DOCUMENT_PUSH -> new Message.DocumentPush(r.readString(), r.readBytes());
+      case PERMIT_ASK ->
+          new Message.PermitAsk(r.readString(), r.readString(), r.readString(), r.readDouble());
+      case PERMIT_GRANT -> new Message.PermitGrant(r.readString(), r.readLong(), r.readLong());
+      case PERMIT_DONE -> new Message.PermitDone(r.readString(), r.readLong());
+      case CRASH_NOTICE -> new Message.CrashNotice(r.readLong(), r.readInt());
       case RESERVE ->
           new Message.Reserve(
-              r.number(),
-              r.text(),
-              r.text(),
-              r.number(),
-              r.integer(),
-              r.number(),
-              r.number(),
-              r.number());
-      case GRANTED -> new Message.Granted(r.number());
-      case PROMPT_READ -> new Message.PromptRead(r.number());
-      case RELEASE -> new Message.Release(r.number());
+              r.readLong(),
+              r.readString(),
+              r.readString(),
+              r.readLong(),
+              r.readInt(),
+              r.readLong(),
+              r.readLong(),
+              r.readLong());
+      case GRANTED -> new Message.Granted(r.readLong());
+      case PROMPT_READ -> new Message.PromptRead(r.readLong());
+      case RELEASE -> new Message.Release(r.readLong());
       case HOLDINGS ->
-          new Message.Holdings(r.text(), r.texts(), r.texts(), r.integer(), r.flag(), r.number());
-      case PEER_LOAD -> new Message.PeerLoad(r.integer(), r.number(), r.integer());
-      case ENGINE_COSTS -> new Message.EngineCosts(r.number(), r.number(), r.number(), r.integer());
-      case USAGE_REPORT -> new Message.UsageReport(r.numbersByText());
-      case USAGE_UPDATE -> new Message.UsageUpdate(r.numbersByText(), r.integer(), r.integer());
+          new Message.Holdings(
+              r.readString(),
+              r.readStrings(),
+              r.readStrings(),
+              r.readInt(),
+              r.readBoolean(),
+              r.readLong());
+      case PEER_LOAD -> new Message.PeerLoad(r.readInt(), r.readLong(), r.readInt());
+      case ENGINE_COSTS ->
+          new Message.EngineCosts(r.readLong(), r.readLong(), r.readLong(), r.readInt());
+      case USAGE_REPORT -> new Message.UsageReport(r.readLongsByString());
+      case USAGE_UPDATE -> new Message.UsageUpdate(r.readLongsByString(), r.readInt(), r.readInt());
       case RATE_PERMIT_REQUEST ->
-          new Message.RatePermitRequest(r.number(), r.text(), r.real(), r.number(), r.number());
-      case RATE_PERMIT_REPLY -> new Message.RatePermitReply(r.number(), r.flag(), r.number());
-      case RATE_LIMIT_LIFTED -> new Message.RateLimitLifted(r.text(), r.number());
+          new Message.RatePermitRequest(
+              r.readLong(), r.readString(), r.readDouble(), r.readLong(), r.readLong());
+      case RATE_PERMIT_REPLY ->
+          new Message.RatePermitReply(r.readLong(), r.readBoolean(), r.readLong());
+      case RATE_LIMIT_LIFTED -> new Message.RateLimitLifted(r.readString(), r.readLong());
       default -> new Message.Unknown(type);
     };
   }
 
   private static Message readDispatch(FieldReader r) throws IOException {
     return new Message.Dispatch(
-        r.number(),
-        r.text(),
-        r.text(),
-        r.text(),
-        r.text(),
-        r.bytes(),
-        r.text(),
-        r.text(),
-        r.text(),
-        r.text(),
-        r.integer(),
-        r.number(),
-        r.number(),
-        r.real(),
-        r.real(),
-        r.integer(),
-        r.integer(),
-        r.integer(),
-        r.text(),
-        r.number());
+        r.readLong(),
+        r.readString(),
+        r.readString(),
+        r.readString(),
+        r.readString(),
+        r.readBytes(),
+        r.readString(),
+        r.readString(),
+        r.readString(),
+        r.readString(),
+        r.readInt(),
+        r.readLong(),
+        r.readLong(),
+        r.readDouble(),
+        r.readDouble(),
+        r.readInt(),
+        r.readInt(),
+        r.readInt(),
+        r.readString(),
+        r.readLong());
   }
 
   private static Message readLoadReport(FieldReader r) throws IOException {
-    int running = r.integer();
-    int queued = r.integer();
-    int batch = r.integer();
-    int slots = r.integer();
-    long queueWait = r.number();
-    long loadWait = r.number();
-    List<String> resident = r.texts();
+    int running = r.readInt();
+    int queued = r.readInt();
+    int batch = r.readInt();
+    int slots = r.readInt();
+    long queueWait = r.readLong();
+    long loadWait = r.readLong();
+    List<String> resident = r.readStrings();
     return new Message.LoadReport(running, queued, batch, slots, queueWait, loadWait, resident);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/wire/ThreadedConnection.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/ThreadedConnection.java
@@ -21,24 +21,26 @@
 import org.hornbeamusher.membership.HeartbeatMonitor;
 
 /**
- * A connection that blocks: two virtual threads carry it, over plain sockets or TLS.
+ * A connection with blocking I/O on two virtual threads, over plain sockets or TLS.
  *
- * <p>One thread reads and one writes; blocking reads and writes keep the code straight and cost no
- * platform thread. Sent messages go through a bounded queue: what an attempt may have under way is
- * bounded by its credit, so a full queue means that the peer stopped reading, and the connection is
- * given up rather than memory filled.
+ * <p>One thread reads and one writes; blocking calls keep the code simple and occupy no platform
+ * thread. Messages to send go through a bounded queue. The unread bytes of an attempt are bounded
+ * by its credit, so a full queue means that the peer has stopped reading; the connection is then
+ * closed instead of letting memory grow.
  *
- * <p>Something between the ends may lose track of a connection, and then neither end hears of it:
- * reads block for good while new connections work. Both ends therefore send heartbeats, and an end
- * that receives nothing for {@link WireSettings#silenceMillis} closes the connection. Every byte
- * counts: a large message takes longer than that on a slow link. Both threads look, as the one that
- * writes may be stuck in a large message that nobody reads.
+ * <p>A network device between the peers may drop its state of a connection without notifying either
+ * of them: reads then block forever although new connections work. Both peers therefore send
+ * heartbeats, and a peer that receives nothing for {@link WireSettings#silenceMillis} closes the
+ * connection. Any received byte counts, because a large message takes longer than that over a slow
+ * link. Both threads check this timeout, because the writing one may be blocked in a large message
+ * that the peer does not read.
  */
 final class ThreadedConnection implements WireConnection {
 
   /**
-   * A few control messages or tokens. Larger frames pass by the buffer, and at 121 connections (an
-   * entry at the size of docs/CAPACITY.md) four times as much is 6 MiB that hold nothing.
+   * Holds a few control messages or tokens; larger frames bypass the buffer. With the 121
+   * connections of an entry at the size of docs/CAPACITY.md, buffers of four times this size would
+   * take 6 MiB that are mostly unused.
    */
   private static final int BUFFER_BYTES = 8 * 1024;
 
@@ -49,16 +51,16 @@
   private final Clock clock;
   private final BlockingQueue<Message> outgoing;
   private final AtomicBoolean closed = new AtomicBoolean();
-  private final AtomicReference<HornbeamusherException> reason = new AtomicReference<>();
+  private final AtomicReference<HornbeamusherException> closeReason = new AtomicReference<>();
   private final WireSession session;
 
-  /** Guarded by itself: the reading thread tells it what came, the writing thread asks it. */
+  /** Guarded by itself: the reading thread updates it, and both threads check it. */
   private final HeartbeatMonitor monitor;
 
-  private long heartbeats;
+  private long heartbeatsSent;
 
-  /** Bytes that have come since the last whole message. */
-  private volatile long partBytes;
+  /** Bytes received since the last complete message. */
+  private volatile long partialMessageBytes;
 
   private volatile long receivedMillis;
 
@@ -66,9 +68,9 @@
    * Wraps a connected socket.
    *
    * @param socket the socket
-   * @param own what this process says of itself
-   * @param listener hears what happens
-   * @param settings intervals and bounds
+   * @param own the hello that this process sends
+   * @param listener receives the events of the connection
+   * @param settings intervals and limits
    * @param clock the clock
    */
   ThreadedConnection(
@@ -106,7 +108,7 @@
     if (outgoing.offer(message)) {
       return true;
     }
-    fail(silentFailure());
+    fail(timeoutFailure());
     return false;
   }
 
@@ -122,7 +124,7 @@
 
   @Override
   public boolean receiving() {
-    return partBytes > BUFFER_BYTES
+    return partialMessageBytes > BUFFER_BYTES
         && clock.millis() - receivedMillis < settings.silenceMillis() / 2;
   }
 
@@ -134,7 +136,7 @@
               new BufferedInputStream(new MonitoredStream(socket.getInputStream()), BUFFER_BYTES));
       while (!closed.get()) {
         byte[] frame = FrameStream.read(in);
-        partBytes = 0;
+        partialMessageBytes = 0;
         session.deliver(this, MessageCodec.decode(frame));
       }
     } catch (IOException e) {
@@ -142,14 +144,13 @@
     } catch (HornbeamusherException e) {
       fail(e);
     } catch (RuntimeException e) {
-      // A message whose fields make no sense to the listener, such as a name in no alphabet of
-      // ours.
-      // Without this the thread would end unseen and the socket stay open with nobody reading.
+      // The listener rejected a field, such as a name with characters that are not allowed. Without
+      // this catch the thread would end unnoticed and the socket stay open with nobody reading it.
       fail(
           HornbeamusherException.of(FailureType.FRAME_MALFORMED, Outcome.UNKNOWN, e.getMessage())
               .causedBy(e));
     } finally {
-      listener.closed(this, reason.get() == null ? closedFailure() : reason.get());
+      listener.closed(this, closeReason.get() == null ? closedFailure() : closeReason.get());
     }
   }
 
@@ -163,13 +164,13 @@
       while (!closed.get()) {
         long wait = Math.max(0, nextHeartbeat - clock.millis());
         Message next = outgoing.poll(wait, TimeUnit.MILLISECONDS);
-        writeReady(out, next);
+        writeQueued(out, next);
         if (clock.millis() >= nextHeartbeat) {
-          write(out, new Message.Heartbeat(heartbeats++, listener.digest()));
+          write(out, new Message.Heartbeat(heartbeatsSent++, listener.digest()));
           nextHeartbeat = clock.millis() + settings.heartbeatMillis();
         }
         out.flush();
-        checkSilence();
+        checkHeartbeatTimeout();
       }
     } catch (IOException e) {
       fail(closedFailure().causedBy(e));
@@ -179,7 +180,7 @@
     }
   }
 
-  private void writeReady(DataOutputStream out, Message first) throws IOException {
+  private void writeQueued(DataOutputStream out, Message first) throws IOException {
     Message next = first;
     while (next != null) {
       write(out, next);
@@ -191,32 +192,32 @@
     FrameStream.write(out, MessageCodec.encode(message));
   }
 
-  private void checkSilence() {
+  private void checkHeartbeatTimeout() {
     synchronized (monitor) {
       if (!monitor.silent(clock.millis())) {
         return;
       }
     }
-    fail(silentFailure());
+    fail(timeoutFailure());
   }
 
-  private HornbeamusherException silentFailure() {
+  private HornbeamusherException timeoutFailure() {
     synchronized (monitor) {
-      return session.silent(monitor.silentMillis(clock.millis()), this::address);
+      return session.timeoutFailure(monitor.silentMillis(clock.millis()), this::address);
     }
   }
 
   private HornbeamusherException closedFailure() {
-    return session.closed(this::address);
+    return session.closedFailure(this::address);
   }
 
   private String address() {
     return String.valueOf(socket.getRemoteSocketAddress());
   }
 
-  private void fail(HornbeamusherException why) {
+  private void fail(HornbeamusherException reason) {
     if (closed.compareAndSet(false, true)) {
-      reason.set(why);
+      closeReason.set(reason);
       closeSocket();
     }
   }
@@ -225,11 +226,11 @@
     try {
       socket.close();
     } catch (IOException ignored) {
-      // The connection is given up; that its socket cannot be closed cleanly changes nothing.
+      // The connection is being closed; a failure to close its socket changes nothing.
     }
   }
 
-  /** Notes when bytes come, and looks in between whether they have stopped to. */
+  /** Records when bytes arrive, and checks the heartbeat timeout whenever a read times out. */
   private final class MonitoredStream extends FilterInputStream {
 
     MonitoredStream(InputStream in) {
@@ -250,14 +251,14 @@
           recordReceived(Math.max(0, count));
           return count;
         } catch (SocketTimeoutException e) {
-          checkSilence();
+          checkHeartbeatTimeout();
         }
       }
     }
 
     private void recordReceived(int count) {
       receivedMillis = clock.millis();
-      partBytes += count;
+      partialMessageBytes += count;
       synchronized (monitor) {
         monitor.received(receivedMillis);
       }
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireConnection.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireConnection.java
@@ -3,43 +3,44 @@
 /**
  * One connection between two processes.
  *
- * <p>What may be under way is bounded: a peer that stops reading costs the connection, not memory.
- * Something between the ends may lose track of a connection, and then neither end hears of it while
- * new connections work. Both ends therefore send heartbeats, and an end that hears nothing for
- * {@link WireSettings#silenceMillis} closes the connection.
+ * <p>The unsent messages are bounded: when the peer stops reading, the connection is closed instead
+ * of letting memory grow. A network device between the peers may drop its state of a connection
+ * without notifying either of them, while new connections work. Both peers therefore send
+ * heartbeats, and a peer that receives nothing for {@link WireSettings#silenceMillis} closes the
+ * connection.
  */
 public interface WireConnection {
 
   /**
    * Sends a message.
    *
-   * @param message what to send
-   * @return false when it was certainly not sent; what was taken may still not arrive
+   * @param message the message
+   * @return false when it was certainly not sent; an accepted message may still be lost
    */
   boolean send(Message message);
 
   /**
-   * Returns what the peer said of itself.
+   * Returns the hello of the peer.
    *
-   * @return its hello, or null before it came
+   * @return null before it was received
    */
   Message.Hello peer();
 
   /**
-   * Tells whether messages can be sent.
+   * Returns whether messages can be sent.
    *
-   * @return false once the connection ended
+   * @return false once the connection is closed
    */
   boolean isOpen();
 
   /**
-   * Returns whether a large message is arriving. Until it is whole, an answer that is behind it or
-   * is the message itself cannot be here.
+   * Returns whether a large message is being received. Until it is complete, neither a response in
+   * that message nor one queued behind it can have arrived.
    *
-   * @return whether part of one is here and more has come lately
+   * @return true when part of such a message was received, and more bytes arrived recently
    */
   boolean receiving();
 
-  /** Closes the connection; the listener hears of it. */
+  /** Closes the connection; the listener is notified. */
   void stop();
 }
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireConnector.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireConnector.java
@@ -8,8 +8,8 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 
 /**
- * Keeps one connection to a peer: opens it, and opens a new one whenever it ends, as {@link
- * ConnectPace} says.
+ * Keeps one connection to a peer open, on virtual threads: connects, and reconnects whenever the
+ * connection is closed, with the delays and timeouts of {@link ConnectBackoff}.
  */
 public final class WireConnector implements WireService {
 
@@ -19,7 +19,7 @@
   private final WireSettings settings;
   private final WireSockets sockets;
   private final Clock clock;
-  private final ConnectPace pace;
+  private final ConnectBackoff backoff;
   private volatile boolean stopped;
   private volatile WireConnection current;
   private volatile Thread thread;
@@ -28,9 +28,9 @@
    * Creates a connector that is not started.
    *
    * @param address the peer's address
-   * @param own what this process says of itself
-   * @param listener hears what happens on every connection
-   * @param settings intervals and bounds
+   * @param own the hello that this process sends
+   * @param listener receives the events of every connection
+   * @param settings intervals and limits
    * @param sockets plain or TLS
    * @param clock the clock
    */
@@ -47,7 +47,7 @@
     this.settings = settings;
     this.sockets = sockets;
     this.clock = clock;
-    this.pace = new ConnectPace(settings.connectMillis());
+    this.backoff = new ConnectBackoff(settings.connectMillis());
   }
 
   @Override
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Opens no further connection; the one that is open goes on until its peer ends it. The list of
-   * instances lags and errs, and an agent that left it may still be finishing its work.
+   * Stops reconnecting; an open connection is kept until the peer closes it. The list of instances
+   * may be stale or wrong, and an agent that is no longer in it may still be finishing its work.
    */
   public void stopWhenClosed() {
     stopped = true;
@@ -79,12 +79,12 @@
   private void run() {
     while (!stopped) {
       try {
-        if (connectOnce(pace.patienceMillis())) {
-          pace.succeeded();
+        if (connectOnce(backoff.connectTimeoutMillis())) {
+          backoff.succeeded();
         } else {
-          pace.failed();
+          backoff.failed();
         }
-        Thread.sleep(pace.pauseMillis());
+        Thread.sleep(backoff.retryDelayMillis());
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return;
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Opens a connection and waits for its end; tells whether the peer introduced itself. */
+  /** Opens a connection and waits until it is closed; returns whether the peer sent its hello. */
   private boolean connectOnce(int millis) throws InterruptedException {
     Socket socket;
     try {
@@ -102,7 +102,7 @@
     } catch (IOException e) {
       return false;
     }
-    EndSignal end = new EndSignal(listener);
+    CloseLatch end = new CloseLatch(listener);
     ThreadedConnection connection = new ThreadedConnection(socket, own, end, settings, clock);
     current = connection;
     connection.start();
@@ -113,11 +113,11 @@
     return connection.peer() != null;
   }
 
-  private static final class EndSignal extends ForwardingListener {
+  private static final class CloseLatch extends ForwardingListener {
 
     private final CountDownLatch ended = new CountDownLatch(1);
 
-    EndSignal(WireListener listener) {
+    CloseLatch(WireListener listener) {
       super(listener);
     }
 
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireListener.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireListener.java
@@ -2,44 +2,44 @@
 
 import org.hornbeamusher.failure.HornbeamusherException;
 
-/** Hears what happens on a connection. Called by one thread at a time for each connection. */
+/** Receives the events of a connection. Called by one thread at a time for each connection. */
 public interface WireListener {
 
   /**
-   * The peer introduced itself; messages may be sent.
+   * The peer's hello was received; messages may be sent.
    *
    * @param connection the connection
-   * @param peer what the peer said of itself
+   * @param peer the hello of the peer
    */
   void opened(WireConnection connection, Message.Hello peer);
 
   /**
-   * A message arrived.
+   * A message was received.
    *
    * @param connection the connection
-   * @param message the message, never a hello, heartbeat or unknown one
+   * @param message the message; never a hello, a heartbeat or a message of unknown type
    */
   void received(WireConnection connection, Message message);
 
   /**
-   * The connection ended; heard once, also when the peer never introduced itself.
+   * The connection was closed. Called once, even if the peer never sent its hello.
    *
    * @param connection the connection
-   * @param reason why
+   * @param reason the failure that closed it
    */
   void closed(WireConnection connection, HornbeamusherException reason);
 
   /**
-   * Gives the digest of documents that the next heartbeat carries.
+   * Returns the digest of documents that the next heartbeat carries.
    *
-   * @return a hash; 0 when this process holds none
+   * @return a hash; 0 when this process has no documents
    */
   default long digest() {
     return 0;
   }
 
   /**
-   * The peer's heartbeat arrived.
+   * A heartbeat of the peer was received.
    *
    * @param connection the connection
    * @param digest the peer's digest of documents
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireServer.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireServer.java
@@ -13,7 +13,7 @@
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 
-/** Accepts connections of peers. */
+/** Accepts connections from peers, on virtual threads. */
 public final class WireServer implements WireService {
 
   private static final int BACKLOG = 1_024;
@@ -30,10 +30,10 @@
   /**
    * Creates a server that is not started.
    *
-   * @param address where it listens; port 0 picks a free one
-   * @param own what this process says of itself
-   * @param listener hears what happens on every connection
-   * @param settings intervals and bounds
+   * @param address the address to listen on; port 0 picks a free one
+   * @param own the hello that this process sends
+   * @param listener receives the events of every connection
+   * @param settings intervals and limits
    * @param sockets plain or TLS
    * @param clock the clock
    */
@@ -69,13 +69,13 @@
     try {
       server.close();
     } catch (IOException ignored) {
-      // The process is leaving; a listener that fails to close ends with it.
+      // The process is shutting down, which also closes the listening socket.
     }
     connections.forEach(WireConnection::stop);
   }
 
   /**
-   * Returns where the server listens.
+   * Returns the address that the server listens on.
    *
    * @return the bound address
    */
@@ -88,18 +88,18 @@
   }
 
   /**
-   * Returns how many connections are open.
+   * Returns the number of open connections.
    *
-   * @return also those whose peer has not introduced itself yet
+   * @return the number, including connections whose peer has not sent its hello yet
    */
   public int connections() {
     return connections.size();
   }
 
   /**
-   * Sends a message to every peer that introduced itself.
+   * Sends a message to every peer that has sent its hello.
    *
-   * @param message what to send
+   * @param message the message
    */
   public void broadcast(Message message) {
     for (WireConnection connection : connections) {
@@ -115,12 +115,12 @@
         Socket socket = server.accept();
         socket.setTcpNoDelay(true);
         ThreadedConnection connection =
-            new ThreadedConnection(socket, own, new Tracking(), settings, clock);
+            new ThreadedConnection(socket, own, new ConnectionTracker(), settings, clock);
         connections.add(connection);
         connection.start();
       } catch (IOException e) {
-        // One connection that cannot be set up, or the listener that was closed by stop(): the
-        // loop's condition tells which; other peers must still be accepted.
+        // Either one connection could not be set up, and other peers must still be accepted, or
+        // stop() closed the listening socket, which also ends the loop.
         if (!server.isClosed()) {
           EventLog.log(EventType.PEER_LOST, "reason", e);
         }
@@ -128,9 +128,9 @@
     }
   }
 
-  private final class Tracking extends ForwardingListener {
+  private final class ConnectionTracker extends ForwardingListener {
 
-    Tracking() {
+    ConnectionTracker() {
       super(listener);
     }
 
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireService.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireService.java
@@ -1,16 +1,16 @@
 package org.hornbeamusher.wire;
 
-/** Opens or accepts connections while it runs. */
+/** Opens or accepts connections between {@link #start} and {@link #stop}. */
 public interface WireService {
 
   /**
-   * Begins to connect, or to listen.
+   * Starts to connect or to listen.
    *
    * @throws org.hornbeamusher.failure.HornbeamusherException of type {@code CONNECT_FAILED} when
-   *     the address to listen at cannot be had
+   *     the address cannot be listened on
    */
   void start();
 
-  /** Closes every connection and opens or accepts no other. */
+  /** Closes every connection and stops opening or accepting new ones. */
   void stop();
 }
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireSession.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireSession.java
@@ -6,15 +6,15 @@
 import org.hornbeamusher.failure.Outcome;
 
 /**
- * What two processes say to each other before and between messages: the hello comes first, and
- * heartbeats and messages of unknown types go no further.
+ * The protocol state of one connection: requires a hello of a compatible protocol version as the
+ * first message, reports heartbeats separately and ignores messages of unknown types.
  */
 final class WireSession {
 
   private final Message.Hello own;
   private final WireListener listener;
 
-  /** Null until the peer has introduced itself; never changes afterwards. */
+  /** Null until the peer's hello was received; never changes afterwards. */
   private volatile Message.Hello peer;
 
   WireSession(Message.Hello own, WireListener listener) {
@@ -22,15 +22,18 @@
     this.listener = listener;
   }
 
-  /** Returns what the peer said of itself; null before it came. */
+  /** Returns the hello of the peer; null before it was received. */
   Message.Hello peer() {
     return peer;
   }
 
-  /** Hands a message on; fails when the peer speaks out of turn or another protocol. */
+  /**
+   * Passes a message to the listener. Fails if a message precedes the hello, or if the peer's
+   * protocol versions are incompatible.
+   */
   void deliver(WireConnection connection, Message message) {
     switch (message) {
-      case Message.Hello hello -> greet(connection, hello);
+      case Message.Hello hello -> helloReceived(connection, hello);
       case Message.Heartbeat heartbeat -> {
         if (peer != null) {
           listener.heartbeat(connection, heartbeat.documents());
@@ -46,7 +49,7 @@
     }
   }
 
-  private void greet(WireConnection connection, Message.Hello hello) {
+  private void helloReceived(WireConnection connection, Message.Hello hello) {
     if (hello.highestProtocol() < own.lowestProtocol()
         || hello.lowestProtocol() > own.highestProtocol()) {
       throw HornbeamusherException.notRun(
@@ -58,14 +61,16 @@
     }
   }
 
-  /** Nothing came for so long that the connection is given up. */
-  HornbeamusherException silent(long millis, Supplier<String> address) {
+  /**
+   * Returns the failure for a connection that is closed because nothing was received for so long.
+   */
+  HornbeamusherException timeoutFailure(long millis, Supplier<String> address) {
     return HornbeamusherException.of(
         FailureType.CONNECTION_SILENT, Outcome.UNKNOWN, peerName(address), millis);
   }
 
-  /** The connection has ended. */
-  HornbeamusherException closed(Supplier<String> address) {
+  /** Returns the failure for a connection that was closed. */
+  HornbeamusherException closedFailure(Supplier<String> address) {
     return HornbeamusherException.of(
         FailureType.CONNECTION_CLOSED, Outcome.UNKNOWN, peerName(address));
   }
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireSockets.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireSockets.java
@@ -7,14 +7,14 @@
 import javax.net.ssl.SSLContext;
 import javax.net.ssl.SSLServerSocket;
 
-/** Makes the sockets of connections. */
+/** Creates the sockets of connections. */
 public sealed interface WireSockets {
 
   /**
-   * Makes a listening socket that is not bound.
+   * Creates a listening socket that is not bound.
    *
    * @return the socket
-   * @throws IOException when none can be made
+   * @throws IOException when it cannot be created
    */
   default ServerSocket listen() throws IOException {
     return switch (this) {
@@ -24,10 +24,10 @@
   }
 
   /**
-   * Makes a socket that is not connected.
+   * Creates a socket that is not connected.
    *
    * @return the socket
-   * @throws IOException when none can be made
+   * @throws IOException when it cannot be created
    */
   default Socket connect() throws IOException {
     return switch (this) {
@@ -36,13 +36,13 @@
     };
   }
 
-  /** Neither encrypted nor authenticated; for loopback and tests. */
+  /** Sockets without encryption and authentication, for loopback and tests. */
   record Plain() implements WireSockets {}
 
   /**
-   * Both ends show a certificate.
+   * TLS sockets; both peers present a certificate.
    *
-   * @param context gives the keys in force now, so that they can be replaced without a restart
+   * @param context supplies the current keys, so that they can be replaced without a restart
    */
   record MutualTls(Supplier<SSLContext> context) implements WireSockets {
 
--- a/runtime/src/main/java/org/hornbeamusher/wire/WireTransport.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireTransport.java
@@ -2,25 +2,25 @@
 
 import java.net.InetSocketAddress;
 
-/** Makes connections between processes. */
+/** Creates the services that connect processes. */
 public interface WireTransport {
 
   /**
-   * Makes a service that accepts connections.
+   * Creates a service that accepts connections.
    *
-   * @param address where it listens
-   * @param own what this process says of itself
-   * @param listener hears what happens on every connection
+   * @param address the address to listen on
+   * @param own the hello that this process sends
+   * @param listener receives the events of every connection
    * @return the service, not started
    */
   WireService listen(InetSocketAddress address, Message.Hello own, WireListener listener);
 
   /**
-   * Makes a service that keeps one connection to a peer.
+   * Creates a service that keeps one connection to a peer open.
    *
    * @param address the peer's address
-   * @param own what this process says of itself
-   * @param listener hears what happens on every connection
+   * @param own the hello that this process sends
+   * @param listener receives the events of every connection
    * @return the service, not started
    */
   WireService connect(InetSocketAddress address, Message.Hello own, WireListener listener);
--- a/runtime/src/main/java/org/hornbeamusher/wire/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Frames between entries and agents: TCP, a length prefix and MessagePack. */
+/** The protocol between entries and agents: length-prefixed MessagePack frames over TCP. */
 package org.hornbeamusher.wire;
--- a/runtime/src/test/java/org/hornbeamusher/wire/LosingRelay.java
+++ b/runtime/src/test/java/org/hornbeamusher/wire/FaultyRelay.java
@@ -13,19 +13,19 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Stands between two ends. It can be slow, stop to read, and lose track of the connections that are
- * open.
+ * A TCP relay between two peers. It can delay traffic, stop reading, and discard the traffic of the
+ * open connections.
  */
-final class LosingRelay {
+final class FaultyRelay {
 
   private final InetSocketAddress target;
   private final ServerSocket server;
-  private final List<AtomicBoolean> lost = new CopyOnWriteArrayList<>();
+  private final List<AtomicBoolean> discardFlags = new CopyOnWriteArrayList<>();
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-  private volatile long pauseMillis;
-  private volatile boolean stopped;
+  private volatile long delayMillis;
+  private volatile boolean readingStopped;
 
-  LosingRelay(InetSocketAddress target) {
+  FaultyRelay(InetSocketAddress target) {
     this.target = target;
     try {
       this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -35,62 +35,62 @@
   }
 
   void start() {
-    Thread.ofVirtual().start(this::accept);
+    Thread.ofVirtual().start(this::acceptLoop);
   }
 
   InetSocketAddress address() {
     return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
   }
 
-  /** From now on nothing passes on the connections that are open, and none of them is closed. */
-  void loseOpenConnections() {
-    lost.forEach(flag -> flag.set(true));
+  /** Discards all further traffic on the connections that are open now, without closing them. */
+  void discardOnOpenConnections() {
+    discardFlags.forEach(flag -> flag.set(true));
   }
 
-  /** From now on it pauses for so long after each piece of up to 4 KB. */
-  void slowDown(long millisPerPiece) {
-    pauseMillis = millisPerPiece;
+  /** Delays each read of up to 4 KiB by this time from now on. */
+  void slowDown(long delayPerReadMillis) {
+    delayMillis = delayPerReadMillis;
   }
 
-  /** From now on nothing is read from the connections that are open. */
+  /** Stops reading from the connections that are open now. */
   void stopReading() {
-    stopped = true;
+    readingStopped = true;
   }
 
   void stop() {
     close(server);
-    sockets.forEach(LosingRelay::close);
+    sockets.forEach(FaultyRelay::close);
   }
 
-  private void accept() {
+  private void acceptLoop() {
     try {
       while (true) {
         Socket near = server.accept();
         Socket far = new Socket(target.getAddress(), target.getPort());
         AtomicBoolean flag = new AtomicBoolean();
-        lost.add(flag);
+        discardFlags.add(flag);
         sockets.add(near);
         sockets.add(far);
-        stopped = false;
-        Thread.ofVirtual().start(() -> pass(near, far, flag));
-        Thread.ofVirtual().start(() -> pass(far, near, flag));
+        readingStopped = false;
+        Thread.ofVirtual().start(() -> relay(near, far, flag));
+        Thread.ofVirtual().start(() -> relay(far, near, flag));
       }
     } catch (IOException e) {
       close(server);
     }
   }
 
-  private void pass(Socket from, Socket to, AtomicBoolean lost) {
+  private void relay(Socket from, Socket to, AtomicBoolean discard) {
     try {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       byte[] buffer = new byte[4_096];
       for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-        if (!lost.get()) {
+        if (!discard.get()) {
           out.write(buffer, 0, count);
         }
-        Thread.sleep(pauseMillis);
-        if (stopped) {
+        Thread.sleep(delayMillis);
+        if (readingStopped) {
           return;
         }
       }
@@ -105,7 +105,7 @@
     try {
       closeable.close();
     } catch (Exception e) {
-      // A socket of the test that is closed already.
+      // The socket is closed already.
     }
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/wire/FrameBufferTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/wire/FrameBufferTest.java
@@ -19,9 +19,9 @@
 
 class FrameBufferTest {
 
-  /** The network cuts where it likes; whatever the pieces, the same frames come out. */
+  /** The same frames are read whatever the size of the segments in which their bytes arrive. */
   @Property(seed = "3")
-  void framesComeOutAsTheyWentIn(
+  void framesAreIndependentOfSegmentation(
       @ForAll @Size(max = 12) List<@IntRange(max = 900) Integer> lengths,
       @ForAll @Size(min = 1, max = 20) List<@IntRange(min = 1, max = 700) Integer> pieces) {
     List<byte[]> frames = new ArrayList<>();
@@ -33,10 +33,10 @@
     for (int i = 0; sent.length() > 0; i++) {
       int piece = Math.min(pieces.get(i % pieces.size()), sent.length());
       byte[] bytes = new byte[piece];
-      sent.readable().get(bytes);
-      sent.read();
-      received.writable(piece).put(bytes);
-      received.written();
+      sent.beginRead().get(bytes);
+      sent.endRead();
+      received.beginWrite(piece).put(bytes);
+      received.endWrite();
       for (byte[] frame = received.takeFrame(); frame != null; frame = received.takeFrame()) {
         taken.add(frame);
       }
@@ -54,12 +54,12 @@
     return content;
   }
 
-  /** A hostile or garbled length costs its sender the connection and this process nothing. */
+  /** Guards against allocating memory for a malicious or corrupt length. */
   @Test
-  void lengthBeyondTheLongestFrameIsRefusedUnread() {
+  void tooLongFrameIsRejectedBeforeItsContent() {
     FrameBuffer received = new FrameBuffer();
-    received.writable(4).put(ByteBuffer.allocate(4).putInt(Integer.MAX_VALUE).flip());
-    received.written();
+    received.beginWrite(4).put(ByteBuffer.allocate(4).putInt(Integer.MAX_VALUE).flip());
+    received.endWrite();
     HornbeamusherException refused =
         assertThrows(HornbeamusherException.class, received::takeFrame);
     assertEquals(FailureType.FRAME_TOO_LONG, refused.type());
--- a/runtime/src/test/java/org/hornbeamusher/wire/LoopConnectionTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/wire/LoopConnectionTest.java
@@ -8,8 +8,8 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Connections that share one I/O thread. */
-class LoopConnectionTest extends ConnectionChecks {
+/** Tests connections that share one I/O thread. */
+class LoopConnectionTest extends ConnectionContract {
 
   private XnioWorker worker;
 
@@ -27,7 +27,7 @@
   }
 
   @Override
-  void end() {
+  void closeTransport() {
     worker.shutdownNow();
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/wire/MessageCodecTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/wire/MessageCodecTest.java
@@ -50,14 +50,14 @@
           new Message.RateLimitLifted("i-1", 80));
 
   @Test
-  void everyMessageReadsBack() {
+  void messagesRoundTrip() {
     for (Message sample : SAMPLES) {
       assertEquals(sample, MessageCodec.decode(MessageCodec.encode(sample)));
     }
   }
 
   @Test
-  void bytesReadBack() {
+  void bytesRoundTrip() {
     Message.Chunk chunk = new Message.Chunk(1, 2, new byte[] {3, 4});
     Message.Chunk back =
         assertInstanceOf(Message.Chunk.class, MessageCodec.decode(MessageCodec.encode(chunk)));
@@ -65,8 +65,8 @@
   }
 
   /**
-   * During a rolling upgrade a newer process sends a message type and a field that this one does
-   * not know. If that ended the connection, every upgrade would cut requests.
+   * Guards against connections that are closed during a rolling upgrade, because a newer process
+   * sends a message type or a field that this one does not know; every upgrade would fail requests.
    */
   @Test
   void newerMessagesAndFieldsAreSkipped() throws IOException {
@@ -79,7 +79,7 @@
     assertEquals(new Message.Cancel(4), MessageCodec.decode(packer.toByteArray()));
   }
 
-  /** An older process leaves out a field that was added later; it reads as zero. */
+  /** An older process omits a field that was added later; it is decoded as zero. */
   @Test
   void missingFieldsReadAsDefaults() throws IOException {
     MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
@@ -88,25 +88,26 @@
   }
 
   /**
-   * A peer is broken or hostile and sends random bytes. The reader must answer with its one typed
-   * failure or with a message, never with another exception that would end a thread unseen.
+   * A faulty or malicious peer sends random bytes. Decoding must return a message or fail with
+   * {@code FRAME_MALFORMED}; any other exception would end a thread unnoticed.
    */
   @Property(seed = "4711", tries = 5_000)
-  void randomBytesFailTyped(@ForAll byte[] bytes) {
-    decodeOrTypedFailure(bytes);
+  void randomBytesFailAsMalformed(@ForAll byte[] bytes) {
+    decodeOrFailAsMalformed(bytes);
   }
 
-  /** As above, with frames that are almost right: one byte of a valid message is changed. */
+  /** As above, with one changed byte in a valid message. */
   @Property(seed = "4712", tries = 5_000)
-  void damagedMessagesFailTyped(@ForAll int sample, @ForAll int position, @ForAll byte value) {
+  void damagedMessagesFailAsMalformed(
+      @ForAll int sample, @ForAll int position, @ForAll byte value) {
     byte[] bytes = MessageCodec.encode(SAMPLES.get(Math.floorMod(sample, SAMPLES.size())));
     bytes[Math.floorMod(position, bytes.length)] = value;
-    decodeOrTypedFailure(bytes);
+    decodeOrFailAsMalformed(bytes);
   }
 
-  /** A frame claims a length far beyond what may be sent; memory must not be set aside for it. */
+  /** Guards against allocating memory for a frame whose length exceeds the maximum. */
   @Test
-  void lengthBombsAreRefused() throws IOException {
+  void tooLongFrameIsRejected() throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     new DataOutputStream(bytes).writeInt(Integer.MAX_VALUE);
     HornbeamusherException failure =
@@ -115,16 +116,16 @@
     assertEquals(FailureType.FRAME_TOO_LONG, failure.type());
   }
 
-  /** A string inside a frame claims more bytes than the frame holds. */
+  /** Guards against allocating memory for a string whose length exceeds the rest of its frame. */
   @Test
-  void lengthBombsInsideFramesAreRefused() {
+  void lengthBeyondFrameIsRejected() {
     byte[] frame = {(byte) 0x92, 14, (byte) 0xdb, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff};
     HornbeamusherException failure =
         assertThrows(HornbeamusherException.class, () -> MessageCodec.decode(frame));
     assertEquals(FailureType.FRAME_MALFORMED, failure.type());
   }
 
-  /** The peer goes away in the middle of a frame. */
+  /** The peer closes the connection in the middle of a frame. */
   @Test
   void truncatedFramesEndTheStream() throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -137,7 +138,7 @@
     return new DataInputStream(new ByteArrayInputStream(bytes));
   }
 
-  private static void decodeOrTypedFailure(byte[] bytes) {
+  private static void decodeOrFailAsMalformed(byte[] bytes) {
     try {
       MessageCodec.decode(bytes);
     } catch (HornbeamusherException e) {
--- a/runtime/src/test/java/org/hornbeamusher/wire/SilentConnectionTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/wire/ThreadedConnectionTest.java
@@ -3,8 +3,8 @@
 import java.net.InetSocketAddress;
 import org.hornbeamusher.clock.SystemClock;
 
-/** Connections on threads of their own. */
-class SilentConnectionTest extends ConnectionChecks {
+/** Tests connections that have threads of their own. */
+class ThreadedConnectionTest extends ConnectionContract {
 
   @Override
   WireTransport transport() {
