--- a/runtime/src/main/java/org/hornbeamusher/exchange/DocumentExchange.java
+++ b/runtime/src/main/java/org/hornbeamusher/exchange/DocumentExchange.java
@@ -12,9 +12,8 @@
 import org.hornbeamusher.wire.WireConnection;
 
 /**
- * Answers peers that ask for documents, and asks them for what is newer there.
- *
- * <p>It has no policy: {@link DocumentSync} decides whom to ask and when.
+ * Exchanges documents with peers over their connections: responds to their requests and passes
+ * their messages to {@link DocumentSync}, which decides what to request from which peer and when.
  */
 public final class DocumentExchange {
 
@@ -23,10 +22,10 @@
   private final Map<WireConnection, WireDocumentPeer> peers = new ConcurrentHashMap<>();
 
   /**
-   * Creates an exchange.
+   * Creates an exchange without peers.
    *
-   * @param documents what this process holds
-   * @param sync decides what to ask for
+   * @param documents the documents of this process
+   * @param sync decides what to request
    */
   public DocumentExchange(DocumentHolder documents, DocumentSync sync) {
     this.documents = documents;
@@ -34,17 +33,17 @@
   }
 
   /**
-   * Gives the digest for heartbeats.
+   * Returns the digest for heartbeats.
    *
-   * @return a hash of what is held
+   * @return a hash of the versions of all documents
    */
   public long digest() {
     return documents.digestHash();
   }
 
   /**
-   * Greets a new peer with the digest, so that a process that has just started gets its documents
-   * without waiting for a heartbeat.
+   * Sends the digest to a new peer, so that a process that has just started receives the documents
+   * without waiting for the next heartbeat.
    *
    * @param connection the connection
    */
@@ -52,45 +51,45 @@
     connection.send(new Message.Heartbeat(0, digest()));
   }
 
-  /** Tells every peer at once that something newer is held here. */
+  /** Sends the digest to every peer at once, because a newer document is available here. */
   public void announce() {
     Message heartbeat = new Message.Heartbeat(0, digest());
     peers.keySet().forEach(connection -> connection.send(heartbeat));
   }
 
   /**
-   * Takes in a peer's digest.
+   * Processes the digest in a heartbeat of a peer.
    *
    * @param connection the connection
-   * @param digest the hash it carried
+   * @param digest the hash
    */
   public void heartbeat(WireConnection connection, long digest) {
     sync.heard(peer(connection), digest);
   }
 
   /**
-   * Takes in a message, if it is about documents.
+   * Processes a message if it concerns documents.
    *
    * @param connection the connection
    * @param message any message
    */
   public void received(WireConnection connection, Message message) {
     switch (message) {
-      case Message.DocumentPull pull -> connection.send(answer(pull));
+      case Message.DocumentPull pull -> connection.send(response(pull));
       case Message.DocumentDigest digest ->
-          peer(connection).digestArrived(versions(digest.versions()));
+          peer(connection).digestReceived(versions(digest.versions()));
       case Message.DocumentPush push ->
           peer(connection)
-              .updateArrived(
+              .updateReceived(
                   new ServiceName(push.service()), DocumentCodec.decodeUpdate(push.content()));
       default -> {}
     }
   }
 
   /**
-   * Forgets a peer.
+   * Removes a peer.
    *
-   * @param connection the connection that ended
+   * @param connection the connection that was closed
    */
   public void closed(WireConnection connection) {
     WireDocumentPeer peer = peers.remove(connection);
@@ -104,7 +103,7 @@
     return peers.computeIfAbsent(connection, WireDocumentPeer::new);
   }
 
-  private Message answer(Message.DocumentPull pull) {
+  private Message response(Message.DocumentPull pull) {
     if (pull.service().isEmpty()) {
       Map<String, Long> versions = new HashMap<>();
       documents.digest().forEach((service, version) -> versions.put(service.value(), version));
--- a/runtime/src/main/java/org/hornbeamusher/exchange/WireDocumentPeer.java
+++ b/runtime/src/main/java/org/hornbeamusher/exchange/WireDocumentPeer.java
@@ -14,16 +14,19 @@
 import org.hornbeamusher.wire.Message;
 import org.hornbeamusher.wire.WireConnection;
 
-/** The process at the other end of a connection, asked for documents by frames. */
+/** The peer of a connection, from which documents are requested by messages. */
 final class WireDocumentPeer implements DocumentPeer {
 
-  /** A peer that does not answer within a few heartbeats is asked again with its next digest. */
-  static final long ANSWER_MILLIS = 3_000;
+  /**
+   * A few heartbeat intervals; a peer that does not respond within them is asked again after its
+   * next digest.
+   */
+  static final long RESPONSE_TIMEOUT_MILLIS = 3_000;
 
   private final WireConnection connection;
-  private final AtomicReference<CompletableFuture<Map<ServiceName, Long>>> digest =
+  private final AtomicReference<CompletableFuture<Map<ServiceName, Long>>> pendingDigest =
       new AtomicReference<>();
-  private final Map<ServiceName, CompletableFuture<DocumentUpdate>> pulls =
+  private final Map<ServiceName, CompletableFuture<DocumentUpdate>> pendingPulls =
       new ConcurrentHashMap<>();
 
   WireDocumentPeer(WireConnection connection) {
@@ -33,17 +36,17 @@
   @Override
   public CompletableFuture<Map<ServiceName, Long>> digest() {
     CompletableFuture<Map<ServiceName, Long>> future = new CompletableFuture<>();
-    digest.set(future);
+    pendingDigest.set(future);
     connection.send(new Message.DocumentPull("", 0));
-    return awaited(future);
+    return withTimeout(future);
   }
 
   @Override
   public CompletableFuture<DocumentUpdate> pull(ServiceName service, long haveVersion) {
     CompletableFuture<DocumentUpdate> future = new CompletableFuture<>();
-    pulls.put(service, future);
+    pendingPulls.put(service, future);
     connection.send(new Message.DocumentPull(service.value(), haveVersion));
-    return awaited(future);
+    return withTimeout(future);
   }
 
   @Override
@@ -51,13 +54,13 @@
     return connection.receiving();
   }
 
-  /** A large document may take longer to arrive; it is waited for as long as it does. */
-  private <T> CompletableFuture<T> awaited(CompletableFuture<T> future) {
-    CompletableFuture.delayedExecutor(ANSWER_MILLIS, TimeUnit.MILLISECONDS)
+  /** Adds the response timeout, which is extended while a large message is being received. */
+  private <T> CompletableFuture<T> withTimeout(CompletableFuture<T> future) {
+    CompletableFuture.delayedExecutor(RESPONSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
         .execute(
             () -> {
               if (!future.isDone() && connection.receiving()) {
-                awaited(future);
+                withTimeout(future);
               } else {
                 future.completeExceptionally(new TimeoutException());
               }
@@ -65,15 +68,15 @@
     return future;
   }
 
-  void digestArrived(Map<ServiceName, Long> versions) {
-    CompletableFuture<Map<ServiceName, Long>> waiting = digest.getAndSet(null);
+  void digestReceived(Map<ServiceName, Long> versions) {
+    CompletableFuture<Map<ServiceName, Long>> waiting = pendingDigest.getAndSet(null);
     if (waiting != null) {
       waiting.complete(versions);
     }
   }
 
-  void updateArrived(ServiceName service, DocumentUpdate update) {
-    CompletableFuture<DocumentUpdate> waiting = pulls.remove(service);
+  void updateReceived(ServiceName service, DocumentUpdate update) {
+    CompletableFuture<DocumentUpdate> waiting = pendingPulls.remove(service);
     if (waiting != null) {
       waiting.complete(update);
     }
@@ -82,11 +85,11 @@
   void closed() {
     HornbeamusherException failure =
         HornbeamusherException.notRun(FailureType.CONNECTION_CLOSED, connection.peer().instance());
-    CompletableFuture<Map<ServiceName, Long>> waiting = digest.getAndSet(null);
+    CompletableFuture<Map<ServiceName, Long>> waiting = pendingDigest.getAndSet(null);
     if (waiting != null) {
       waiting.completeExceptionally(failure);
     }
-    pulls.values().forEach(future -> future.completeExceptionally(failure));
-    pulls.clear();
+    pendingPulls.values().forEach(future -> future.completeExceptionally(failure));
+    pendingPulls.clear();
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/exchange/WireDocumentPeerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/exchange/WireDocumentPeerTest.java
@@ -13,28 +13,29 @@
 
 class WireDocumentPeerTest {
 
-  private static final long TWO_ANSWERS_MILLIS = 2 * WireDocumentPeer.ANSWER_MILLIS + 500;
+  private static final long TWO_TIMEOUTS_MILLIS =
+      2 * WireDocumentPeer.RESPONSE_TIMEOUT_MILLIS + 500;
 
   private volatile boolean receiving;
 
-  /** Guards against an answer that is given up while it arrives. */
+  /** Guards against a timeout while a large response is being received. */
   @Test
-  void answerThatIsArrivingIsAwaited() throws InterruptedException {
+  void responseBeingReceivedDoesNotTimeOut() throws InterruptedException {
     receiving = true;
     WireDocumentPeer peer = new WireDocumentPeer(new Connection());
     CompletableFuture<Map<ServiceName, Long>> digest = peer.digest();
-    Thread.sleep(TWO_ANSWERS_MILLIS);
+    Thread.sleep(TWO_TIMEOUTS_MILLIS);
     assertFalse(digest.isDone());
-    peer.digestArrived(Map.of());
+    peer.digestReceived(Map.of());
     assertEquals(Map.of(), digest.join());
   }
 
-  /** Guards against an answer that is awaited for good. */
+  /** Guards against waiting forever for a response. */
   @Test
-  void answerThatDoesNotArriveIsGivenUp() throws InterruptedException {
+  void missingResponseTimesOut() throws InterruptedException {
     WireDocumentPeer peer = new WireDocumentPeer(new Connection());
     CompletableFuture<?> pull = peer.pull(new ServiceName("s"), 0);
-    Thread.sleep(TWO_ANSWERS_MILLIS);
+    Thread.sleep(TWO_TIMEOUTS_MILLIS);
     assertTrue(pull.isCompletedExceptionally());
   }
 
