--- a/runtime/src/main/java/org/hornbeamusher/http/ConnectionPool.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/ConnectionPool.java
@@ -16,31 +16,33 @@
 import org.xnio.XnioWorker;
 
 /**
- * Idle connections by origin. The most recently used one is handed out first, so that the others
- * age and are closed by their servers.
+ * Pools idle connections by origin. The most recently used one is reused first, so that the others
+ * reach the idle timeouts of their servers and are closed.
  *
- * <p>A server closes a connection that was idle for its own timeout. A request that crosses this
- * close is reset, and whether it ran is not known, so a connection is not used again once it was
- * idle for most of the time that its server stated.
+ * <p>A server closes a connection after its idle timeout. A request sent at the moment of this
+ * close fails with a reset, and whether it ran is unknown. So a connection is not reused once it
+ * was idle for most of the timeout that its server stated.
  */
 final class ConnectionPool {
 
-  /** Beyond this many idle connections of one origin, a returned one is closed. */
+  /** The maximum number of idle connections for each origin; further ones are closed. */
   private static final int MAX_IDLE = 256;
 
   /**
-   * The worker's own options do not reach client sockets. Without the first, a request's last small
-   * segment may wait for the acknowledgement of the one before it. The second one makes a close a
-   * reset: a request that is held up on the way is then dropped with its connection, and does not
-   * run seconds after it was cancelled.
+   * The options of the worker do not apply to client sockets. Without {@code TCP_NODELAY}, the last
+   * small segment of a request may wait for the acknowledgement of the segment before it. {@code
+   * CLOSE_ABORT} resets a connection when it is closed: a cancelled request that is delayed in the
+   * network is then dropped with its connection instead of running seconds later.
    */
   private static final OptionMap OPTIONS =
       OptionMap.create(Options.TCP_NODELAY, true, Options.CLOSE_ABORT, true);
 
-  private final ConcurrentHashMap<String, ConcurrentLinkedDeque<Idle>> idle =
+  private final ConcurrentHashMap<String, ConcurrentLinkedDeque<IdleConnection>> idle =
       new ConcurrentHashMap<>();
 
-  /** Connections of each origin that are open or being opened, idle ones included. */
+  /**
+   * The number of connections to each origin that are open or being opened, including idle ones.
+   */
   private final ConcurrentHashMap<String, AtomicInteger> open = new ConcurrentHashMap<>();
 
   private UndertowClient client;
@@ -58,19 +60,19 @@
   }
 
   /**
-   * Hands out an idle connection, or opens one. Fails with {@link ConnectionLimitException} when as
-   * many are open as may be.
+   * Passes an idle or a new connection to the callback. Fails with {@link ConnectionLimitException}
+   * when the maximum number of connections is open.
    */
-  void acquire(URI uri, int mostConnections, ClientCallback<ClientConnection> callback) {
+  void acquire(URI uri, int maxConnections, ClientCallback<ClientConnection> callback) {
     ClientConnection pooled = pollOpen(uri.getAuthority());
     if (pooled != null) {
       callback.completed(pooled);
       return;
     }
     AtomicInteger count = open.computeIfAbsent(uri.getAuthority(), key -> new AtomicInteger());
-    if (count.incrementAndGet() > mostConnections) {
+    if (count.incrementAndGet() > maxConnections) {
       count.decrementAndGet();
-      callback.failed(new ConnectionLimitException(uri.getAuthority(), mostConnections));
+      callback.failed(new ConnectionLimitException(uri.getAuthority(), maxConnections));
       return;
     }
     client.connect(counted(callback, count), uri, worker, buffers, OPTIONS);
@@ -93,28 +95,31 @@
     };
   }
 
-  /** Takes back a connection whose exchange ended cleanly, for use within some time. */
+  /**
+   * Returns a connection to the pool after a complete exchange. It may be reused within the given
+   * time, and is closed if that is not positive.
+   */
   void release(URI uri, ClientConnection connection, long usableMillis) {
-    ConcurrentLinkedDeque<Idle> queue = queue(uri.getAuthority());
+    ConcurrentLinkedDeque<IdleConnection> queue = queue(uri.getAuthority());
     if (!connection.isOpen() || usableMillis <= 0 || queue.size() >= MAX_IDLE) {
       IoUtils.safeClose(connection);
       return;
     }
-    queue.addFirst(new Idle(connection, SteadyClock.INSTANCE.millis() + usableMillis));
+    queue.addFirst(new IdleConnection(connection, SteadyClock.INSTANCE.millis() + usableMillis));
   }
 
-  /** Closes the idle connections of an origin, because they may be dead without showing it. */
+  /** Closes the idle connections to an origin, which may be dead without having been closed. */
   void purge(String origin) {
-    ConcurrentLinkedDeque<Idle> queue = idle.remove(origin);
+    ConcurrentLinkedDeque<IdleConnection> queue = idle.remove(origin);
     if (queue != null) {
       queue.forEach(entry -> IoUtils.safeClose(entry.connection()));
     }
   }
 
   private ClientConnection pollOpen(String origin) {
-    ConcurrentLinkedDeque<Idle> queue = queue(origin);
+    ConcurrentLinkedDeque<IdleConnection> queue = queue(origin);
     long now = SteadyClock.INSTANCE.millis();
-    Idle candidate = queue.pollFirst();
+    IdleConnection candidate = queue.pollFirst();
     while (candidate != null) {
       if (candidate.connection().isOpen() && now < candidate.usableUntilMillis()) {
         return candidate.connection();
@@ -125,9 +130,9 @@
     return null;
   }
 
-  private ConcurrentLinkedDeque<Idle> queue(String origin) {
+  private ConcurrentLinkedDeque<IdleConnection> queue(String origin) {
     return idle.computeIfAbsent(origin, key -> new ConcurrentLinkedDeque<>());
   }
 
-  private record Idle(ClientConnection connection, long usableUntilMillis) {}
+  private record IdleConnection(ClientConnection connection, long usableUntilMillis) {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpCall.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpCall.java
@@ -8,10 +8,10 @@
  * One HTTP request.
  *
  * @param method for example {@code POST}
- * @param uri whom to connect to; path and query are those of {@code target}
- * @param host the {@code Host} header, which need not be the address
- * @param target path and query as they go on the request line
- * @param headers besides {@code Host} and {@code Content-Length}, which the client sets
+ * @param uri the server to connect to; path and query are ignored in favour of {@code target}
+ * @param host the value of the {@code Host} header, which may differ from the address
+ * @param target path and query as written on the request line
+ * @param headers the headers except {@code Host} and {@code Content-Length}, which the client sets
  * @param body the content, empty for none
  */
 public record HttpCall(
@@ -23,7 +23,7 @@
   }
 
   /**
-   * Describes a request whose host and target are those of its address.
+   * Creates a request whose host and target are those of its URI.
    *
    * @param method for example {@code POST}
    * @param uri scheme, host, port, path and query
@@ -35,21 +35,21 @@
   }
 
   /**
-   * Describes a GET without headers.
+   * Creates a GET request without headers.
    *
-   * @param uri what to get
-   * @return the call
+   * @param uri the URI
+   * @return the request
    */
   public static HttpCall get(URI uri) {
     return new HttpCall("GET", uri, Map.of(), new byte[0]);
   }
 
   /**
-   * Describes a POST of JSON.
+   * Creates a POST request with a JSON body.
    *
-   * @param uri where to
-   * @param json the content
-   * @return the call
+   * @param uri the URI
+   * @param json the body
+   * @return the request
    */
   public static HttpCall postJson(URI uri, byte[] json) {
     return new HttpCall("POST", uri, Map.of("Content-Type", "application/json"), json);
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpClient.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpClient.java
@@ -18,11 +18,12 @@
 import org.xnio.XnioWorker;
 
 /**
- * Sends HTTP/1.1 requests over pooled connections, one exchange a connection at a time.
+ * Sends HTTP/1.1 requests over pooled connections, with one exchange per connection at a time.
  *
- * <p>Undertow's client is used below its proxying layer: it brings connections and framing, and the
- * pool here decides which connection an exchange gets. An exchange that fails or is cancelled
- * closes its connection, so that the rest of its answer can never be read as another exchange's.
+ * <p>Undertow's client is used without its proxy layer: it provides connections and framing, and
+ * {@link ConnectionPool} selects the connection of an exchange. An exchange that fails or is
+ * cancelled closes its connection, so that the rest of its response can never be read as the
+ * response of another exchange.
  */
 public final class HttpClient {
 
@@ -35,23 +36,23 @@
   /**
    * Creates a client that is not started.
    *
-   * @param ioThreads how many threads carry its connections
+   * @param ioThreads the number of I/O threads
    */
   public HttpClient(int ioThreads) {
     this.ioThreads = ioThreads;
   }
 
   /**
-   * Returns the I/O thread of a client that has a single one.
+   * Returns the I/O thread of a client with a single one as an event loop.
    *
    * @return the loop on which every listener is called
    */
   public EventLoop loop() {
-    return new XnioLoop(worker.getIoThread(0));
+    return new XnioEventLoop(worker.getIoThread(0));
   }
 
   /**
-   * Returns what carries the connections, so that a server may share its threads.
+   * Returns the worker with the I/O threads, so that a server can share them.
    *
    * @return the started worker
    */
@@ -60,8 +61,8 @@
   }
 
   /**
-   * Closes the idle connections to an origin. Called when one of them was silent: the others were
-   * opened along the same way and may be dead too.
+   * Closes the idle connections to an origin. Called when a connection to it timed out: the others
+   * use the same network path and may be dead too.
    *
    * @param uri the origin
    */
@@ -88,7 +89,7 @@
         UndertowClient.getInstance(), worker, new DefaultByteBufferPool(true, BUFFER_BYTES));
   }
 
-  /** Closes every connection and ends the I/O threads. */
+  /** Closes every connection and stops the I/O threads. */
   public void stop() {
     connections.stop();
     if (worker != null) {
@@ -100,8 +101,8 @@
    * Sends a request and streams its response.
    *
    * @param call the request
-   * @param listener hears the response
-   * @return control over the exchange
+   * @param listener receives the response
+   * @return controls the exchange
    */
   public HttpStream stream(HttpCall call, HttpStreamListener listener) {
     HttpExchange exchange = new HttpExchange(call, listener, connections);
@@ -110,33 +111,33 @@
   }
 
   /**
-   * Sends a request and streams its response, unless no connection is up in time.
+   * Sends a request and streams its response; fails if no connection is opened in time.
    *
    * @param call the request
-   * @param listener hears the response
-   * @param connectMillis how long a new connection may take
-   * @param mostConnections to its origin at once, idle ones included; beyond them the exchange
-   *     fails with {@code CONNECTIONS_IN_USE}
-   * @return control over the exchange
+   * @param listener receives the response
+   * @param connectMillis the timeout for opening a new connection
+   * @param maxConnections the maximum number of open connections to the origin, including idle
+   *     ones; beyond it the exchange fails with {@code CONNECTIONS_IN_USE}
+   * @return controls the exchange
    */
   public HttpStream stream(
-      HttpCall call, HttpStreamListener listener, long connectMillis, int mostConnections) {
+      HttpCall call, HttpStreamListener listener, long connectMillis, int maxConnections) {
     HttpExchange exchange = new HttpExchange(call, listener, connections);
-    exchange.begin(mostConnections);
+    exchange.begin(maxConnections);
     if (!exchange.hasConnection()) {
-      exchange.connectTimeout(
+      exchange.setConnectTimer(
           worker
               .getIoThread(0)
-              .executeAfter(exchange::checkConnected, connectMillis, TimeUnit.MILLISECONDS));
+              .executeAfter(exchange::checkConnectTimeout, connectMillis, TimeUnit.MILLISECONDS));
     }
     return exchange;
   }
 
   /**
-   * Sends a request and collects its response, which is small.
+   * Sends a request and collects its response, with one timeout for its start and for stalls.
    *
    * @param call the request
-   * @param timeoutMillis how long the response may take to begin, and then stall
+   * @param timeoutMillis the timeout for the start of the response, and for each later stall
    * @return the response; fails with {@code CONNECT_FAILED} when nothing was sent and {@code
    *     CONNECTION_CLOSED} when the request may have arrived
    */
@@ -145,45 +146,49 @@
   }
 
   /**
-   * Sends a request and collects its response, however long its size takes.
+   * Sends a request and collects its response. The total time is not limited, so that a large
+   * response may take as long as its size requires.
    *
    * @param call the request
-   * @param limits how long it may make no progress
+   * @param limits the timeouts for the start of the response and for a stall
    * @return the response; fails with {@code CONNECT_FAILED} when nothing was sent and {@code
    *     CONNECTION_CLOSED} when the request may have arrived
    */
   public CompletableFuture<HttpReply> send(HttpCall call, TransferLimits limits) {
-    CollectedReply reply = new CollectedReply(call.uri(), limits, SteadyClock.INSTANCE);
-    HttpStream stream = stream(call, reply);
-    checkLater(stream, reply, call.uri());
-    return reply.future();
+    ResponseCollector collector = new ResponseCollector(call.uri(), limits, SteadyClock.INSTANCE);
+    HttpStream stream = stream(call, collector);
+    scheduleProgressCheck(stream, collector, call.uri());
+    return collector.future();
   }
 
   /**
-   * On the loop that carries the answer: a timer of the JDK's would wake a thread for each call.
+   * Schedules a check on an I/O thread; a timer of the JDK would wake another thread for each
+   * request.
    */
-  private void checkLater(HttpStream stream, CollectedReply reply, URI uri) {
-    if (reply.future().isDone()) {
+  private void scheduleProgressCheck(HttpStream stream, ResponseCollector collector, URI uri) {
+    if (collector.future().isDone()) {
       return;
     }
     XnioExecutor.Key check =
         worker
             .getIoThread(0)
             .executeAfter(
-                () -> check(stream, reply, uri), reply.remainingMillis(), TimeUnit.MILLISECONDS);
-    reply.future().whenComplete((whole, thrown) -> check.remove());
+                () -> checkProgress(stream, collector, uri),
+                collector.remainingMillis(),
+                TimeUnit.MILLISECONDS);
+    collector.future().whenComplete((response, thrown) -> check.remove());
   }
 
-  private void check(HttpStream stream, CollectedReply reply, URI uri) {
-    if (reply.future().isDone()) {
+  private void checkProgress(HttpStream stream, ResponseCollector collector, URI uri) {
+    if (collector.future().isDone()) {
       return;
     }
-    if (reply.remainingMillis() > 0) {
-      checkLater(stream, reply, uri);
+    if (collector.remainingMillis() > 0) {
+      scheduleProgressCheck(stream, collector, uri);
       return;
     }
     stream.cancel();
     purge(uri);
-    reply.timedOut();
+    collector.timedOut();
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpExchange.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpExchange.java
@@ -31,9 +31,9 @@
   private static final int READ_BYTES = 16 * 1024;
 
   /**
-   * One buffer for each I/O thread: an event of a few bytes is read at a time, and a new buffer for
-   * each was two fifths of all that the process allocated. What was read is copied out before the
-   * listener hears of it, so that a nested read on the same thread cannot spoil it.
+   * One buffer per I/O thread. Most reads return an event of a few bytes, and a new buffer for each
+   * read was two fifths of all allocations of the process. The bytes are copied before the listener
+   * is called, so that a nested read on the same thread cannot overwrite them.
    */
   private static final ThreadLocal<ByteBuffer> READ_BUFFER =
       ThreadLocal.withInitial(() -> ByteBuffer.allocate(READ_BYTES));
@@ -47,10 +47,10 @@
   private volatile StreamSourceChannel source;
   private volatile boolean paused;
 
-  /** How long the connection may be used again once the response is whole. */
+  /** For how long the connection may be reused after the response is complete. */
   private volatile long usableMillis;
 
-  /** False while a part of the request is still to be written. */
+  /** Whether the request was written completely. */
   private volatile boolean bodySent;
 
   HttpExchange(HttpCall call, HttpStreamListener listener, ConnectionPool connections) {
@@ -59,15 +59,12 @@
     this.connections = connections;
   }
 
-  void begin(int mostConnections) {
-    connections.acquire(
-        call.uri(), mostConnections, callback(this::connected, this::connectFailed));
+  void begin(int maxConnections) {
+    connections.acquire(call.uri(), maxConnections, callback(this::connected, this::connectFailed));
   }
 
-  /**
-   * Fails the exchange unless its connection is up by now; a peer that is cut off never answers.
-   */
-  void checkConnected() {
+  /** Fails the exchange if its connection is not open yet; an unreachable peer never responds. */
+  void checkConnectTimeout() {
     if (connection == null) {
       connectFailed(new SocketTimeoutException("connect timed out"));
     }
@@ -77,8 +74,10 @@
     return connection != null;
   }
 
-  /** Sets the timer of {@link #checkConnected}, which is of no use once the connection is up. */
-  void connectTimeout(XnioExecutor.Key timer) {
+  /**
+   * Sets the timer of {@link #checkConnectTimeout}, which is removed once the connection is open.
+   */
+  void setConnectTimer(XnioExecutor.Key timer) {
     connectTimer = timer;
     if (connection != null) {
       timer.remove();
@@ -106,7 +105,7 @@
     }
   }
 
-  static HornbeamusherException cut(URI uri, Throwable cause) {
+  static HornbeamusherException connectionLost(URI uri, Throwable cause) {
     return HornbeamusherException.of(
             FailureType.CONNECTION_CLOSED, Outcome.UNKNOWN, uri.getAuthority())
         .causedBy(cause);
@@ -231,16 +230,17 @@
 
   private void finish() {
     if (ended.compareAndSet(false, true)) {
-      giveBack();
+      releaseConnection();
       listener.end();
     }
   }
 
   /**
-   * A peer may answer before it has read the whole request and keep the connection. What it reads
-   * next must be the rest of that request, so the connection is of no use for another one.
+   * Returns the connection to the pool if the request was written completely, or else closes it. A
+   * peer may respond before it has read the whole request and keep the connection open. It then
+   * expects the rest of that request, so the connection cannot be used for another one.
    */
-  private void giveBack() {
+  private void releaseConnection() {
     if (bodySent) {
       connections.release(call.uri(), connection, usableMillis);
     } else {
@@ -263,7 +263,7 @@
   private void fail(IOException e) {
     if (ended.compareAndSet(false, true)) {
       closeConnection();
-      listener.failed(cut(call.uri(), e));
+      listener.failed(connectionLost(call.uri(), e));
     }
   }
 
@@ -275,22 +275,22 @@
     try {
       open.getIoThread().execute(() -> closeNow(open));
     } catch (RejectedExecutionException e) {
-      // The client is being stopped and its threads take nothing more; without this the connection
-      // would stay open, and whoever stopped the client would get the exception.
+      // The client is being stopped and its threads accept no more tasks. Without this catch the
+      // connection would stay open, and the exception would reach the thread that stops the client.
       closeNow(open);
     }
   }
 
   /**
-   * Closes a connection in the middle of an exchange. Its own close waits for ten seconds for the
-   * response; in that time the endpoint works for nobody. Taken out of the HTTP client, the
-   * connection closes at once.
+   * Closes a connection in the middle of an exchange. The close of Undertow's client connection
+   * waits up to 10 s for the response, while the endpoint works on a cancelled request. After an
+   * upgrade the HTTP client no longer owns the connection, and its close takes effect at once.
    */
   private static void closeNow(ClientConnection open) {
     try {
       IoUtils.safeClose(open.performUpgrade());
     } catch (IOException e) {
-      // It is closed already, or about to be.
+      // The connection is closed already or is being closed.
       IoUtils.safeClose(open);
     }
   }
@@ -304,11 +304,11 @@
     return new HttpHead(exchange.getResponse().getResponseCode(), headers);
   }
 
-  private interface Step<T> {
+  private interface Handler<T> {
     void accept(T value);
   }
 
-  private static <T> ClientCallback<T> callback(Step<T> completed, Step<IOException> failed) {
+  private static <T> ClientCallback<T> callback(Handler<T> completed, Handler<IOException> failed) {
     return new ClientCallback<>() {
       @Override
       public void completed(T result) {
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpHead.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpHead.java
@@ -10,7 +10,7 @@
  * The head of a response.
  *
  * @param status the status code
- * @param headers every header in order
+ * @param headers all headers, in order
  */
 public record HttpHead(int status, List<HttpHeader> headers) {
 
@@ -23,9 +23,9 @@
   }
 
   /**
-   * Tells whether the response reports a success.
+   * Returns whether the response reports success.
    *
-   * @return whether its status is one of 200 to 299
+   * @return whether its status is between 200 and 299
    */
   public boolean success() {
     return status >= SUCCESS_FROM && status < SUCCESS_BELOW;
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpHeader.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpHeader.java
@@ -4,18 +4,18 @@
 import java.util.Optional;
 
 /**
- * One header field. A message may carry several of one name; their order is kept.
+ * One header field. A message may have several fields of the same name; their order is kept.
  *
- * @param name as it was written
- * @param value without surrounding white space
+ * @param name the name as it was written
+ * @param value the value without surrounding white space
  */
 public record HttpHeader(String name, String value) {
 
   /**
-   * Returns whether this is a header of a name.
+   * Returns whether this header has a name.
    *
-   * @param other in any case
-   * @return whether the names are the same
+   * @param other the name, in any case
+   * @return whether the names are equal, ignoring case
    */
   public boolean named(String other) {
     return name.length() == other.length() && name.equalsIgnoreCase(other);
@@ -24,7 +24,7 @@
   /**
    * Finds a header of a message.
    *
-   * @param headers of the message, in order
+   * @param headers the headers of the message, in order
    * @param name in any case
    * @return its first value, or empty when the message has none
    */
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpReply.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpReply.java
@@ -4,12 +4,12 @@
 import org.hornbeamusher.transfer.Transfer;
 
 /**
- * One whole HTTP response.
+ * A complete HTTP response.
  *
  * @param status the status code
  * @param headers the first value of each header, by lower-case name
  * @param body the content
- * @param transfer what it took to arrive
+ * @param transfer the duration and size of the transfer
  */
 public record HttpReply(int status, Map<String, String> headers, byte[] body, Transfer transfer) {
 
@@ -19,7 +19,7 @@
   }
 
   /**
-   * Creates a response of which it does not matter what it took.
+   * Creates a response without a measured transfer.
    *
    * @param status the status code
    * @param headers the first value of each header, by lower-case name
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpStream.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpStream.java
@@ -1,14 +1,14 @@
 package org.hornbeamusher.http;
 
-/** Controls an exchange that is under way. Every method may be called from any thread. */
+/** Controls an exchange in progress. Every method may be called from any thread. */
 public interface HttpStream {
 
-  /** Ends the exchange by closing its connection; the listener hears nothing more. */
+  /** Cancels the exchange by closing its connection; the listener is not called any more. */
   void cancel();
 
-  /** Stops reading, so that the sender is held back by TCP. */
+  /** Stops reading, so that TCP flow control stops the sender. */
   void pause();
 
-  /** Reads again after {@link #pause}. */
+  /** Resumes reading after {@link #pause}. */
   void resume();
 }
--- a/runtime/src/main/java/org/hornbeamusher/http/HttpStreamListener.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/HttpStreamListener.java
@@ -2,12 +2,12 @@
 
 /**
  * Receives a response as it arrives. Called on the connection's I/O thread: a method that blocks
- * holds up every exchange of that thread.
+ * delays every exchange of that thread.
  */
 public interface HttpStreamListener {
 
   /**
-   * Decides right before the first byte is written whether the request is sent.
+   * Decides, immediately before the first byte is written, whether the request is sent.
    *
    * @return false to send nothing; the exchange then fails with {@code SEND_WITHDRAWN}
    */
@@ -15,31 +15,31 @@
     return true;
   }
 
-  /** The connection has taken a part of the request's body. */
+  /** A part of the request body was written to the connection. */
   default void sent() {}
 
   /**
-   * The response begins.
+   * The head of the response was received.
    *
    * @param head status and headers
    */
   void head(HttpHead head);
 
   /**
-   * A part of the content arrived.
+   * A part of the body was received.
    *
-   * @param bytes the part; the listener may keep it
+   * @param bytes the part; the listener may keep the array
    */
   void data(byte[] bytes);
 
-  /** The content is whole. */
+  /** The response is complete. */
   void end();
 
   /**
-   * The exchange failed; nothing follows.
+   * The exchange failed; no further method is called.
    *
    * @param failure {@code CONNECT_FAILED}, {@code CONNECTIONS_IN_USE} or {@code SEND_WITHDRAWN}
-   *     when nothing was sent, {@code CONNECTION_CLOSED} after
+   *     when nothing was sent, otherwise {@code CONNECTION_CLOSED}
    */
   void failed(Throwable failure);
 }
--- a/runtime/src/main/java/org/hornbeamusher/http/CollectedReply.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/ResponseCollector.java
@@ -12,22 +12,22 @@
 import org.hornbeamusher.transfer.TransferLimits;
 import org.hornbeamusher.transfer.TransferProgress;
 
-/** Collects one response, and says of one that fails what had arrived. */
-final class CollectedReply implements HttpStreamListener {
+/** Collects one response; on failure, reports how much of it was received. */
+final class ResponseCollector implements HttpStreamListener {
 
   private final URI uri;
   private final Clock clock;
   private final CompletableFuture<HttpReply> future = new CompletableFuture<>();
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-  /** Guarded by itself: a timer asks it while the connection's thread reports. */
+  /** Guarded by itself: the connection's thread updates it and a timer reads it. */
   private final TransferProgress progress;
 
   private int status;
   private Map<String, String> headers = Map.of();
 
-  /** Creates a collector of the response to a request that is sent now. */
-  CollectedReply(URI uri, TransferLimits limits, Clock clock) {
+  /** Creates a collector for the response to a request that is sent now. */
+  ResponseCollector(URI uri, TransferLimits limits, Clock clock) {
     this.uri = uri;
     this.clock = clock;
     this.progress = new TransferProgress(limits, clock.millis());
@@ -37,7 +37,10 @@
     return future;
   }
 
-  /** Returns how long to wait for more; not positive when the response is to be given up. */
+  /**
+   * Returns the time until the response times out without further progress; not positive when it
+   * has timed out.
+   */
   long remainingMillis() {
     synchronized (progress) {
       return progress.dueMillis() - clock.millis();
@@ -70,25 +73,26 @@
 
   @Override
   public void end() {
-    HttpReply whole;
+    HttpReply response;
     synchronized (progress) {
       if (progress.overdue()) {
         timedOut();
         return;
       }
-      whole = new HttpReply(status, headers, body.toByteArray(), progress.transfer(clock.millis()));
+      response =
+          new HttpReply(status, headers, body.toByteArray(), progress.transfer(clock.millis()));
     }
-    future.complete(whole);
+    future.complete(response);
   }
 
   @Override
   public void failed(Throwable failure) {
-    boolean unsent =
+    boolean notSent =
         failure instanceof HornbeamusherException typed && typed.outcome().equals(Outcome.NOT_RUN);
-    future.completeExceptionally(unsent ? failure : incomplete("connection closed", failure));
+    future.completeExceptionally(notSent ? failure : incomplete("connection closed", failure));
   }
 
-  /** The response has not arrived in time. */
+  /** Fails the response because it was not received in time. */
   void timedOut() {
     future.completeExceptionally(incomplete("timed out", null));
   }
--- a/runtime/src/main/java/org/hornbeamusher/http/XnioLoop.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/XnioEventLoop.java
@@ -5,12 +5,12 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The I/O thread of an {@link HttpClient} with a single one, as a loop. */
-final class XnioLoop implements EventLoop {
+/** An event loop on the I/O thread of an {@link HttpClient} that has a single one. */
+final class XnioEventLoop implements EventLoop {
 
   private final XnioIoThread thread;
 
-  XnioLoop(XnioIoThread thread) {
+  XnioEventLoop(XnioIoThread thread) {
     this.thread = thread;
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/http/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/http/package-info.java
@@ -1,2 +1,2 @@
-/** An HTTP client for many concurrent exchanges, on Undertow. */
+/** An HTTP client for many concurrent exchanges, based on Undertow. */
 package org.hornbeamusher.http;
--- a/runtime/src/test/java/org/hornbeamusher/http/CancelledExchangeTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/http/CancelledExchangeTest.java
@@ -17,13 +17,13 @@
 
 class CancelledExchangeTest {
 
-  /** Half of the time that an orderly close takes in the middle of an exchange. */
-  private static final int LONG_MILLIS = 5_000;
+  /** Half of the time that an orderly close in the middle of an exchange takes. */
+  private static final int READ_TIMEOUT_MILLIS = 5_000;
 
   /**
-   * A request is sent while the link to its endpoint is cut, and its caller leaves. Closed in
-   * order, the connection would deliver the request when the link is back, seconds later, and the
-   * endpoint would work for nobody; reset, what was held up on the way is dropped.
+   * Guards against an orderly close of a cancelled exchange. If a request is sent during a network
+   * partition and its caller disconnects, an orderly close would deliver the request when the
+   * partition ends, and the endpoint would run it for nobody. A reset drops the undelivered data.
    */
   @Test
   void cancelledExchangeResetsItsConnection() throws IOException {
@@ -31,9 +31,9 @@
     client.start();
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       URI uri = URI.create("http://127.0.0.1:" + server.getLocalPort() + "/");
-      HttpStream stream = client.stream(HttpCall.get(uri), new Deaf());
+      HttpStream stream = client.stream(HttpCall.get(uri), new NoOpListener());
       try (Socket socket = server.accept()) {
-        socket.setSoTimeout(LONG_MILLIS);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         InputStream in = socket.getInputStream();
         in.read();
         stream.cancel();
@@ -44,7 +44,10 @@
     }
   }
 
-  /** A request was written although its endpoint had stated meanwhile that it takes none. */
+  /**
+   * Guards against writing a request that the listener withdraws, because its endpoint reported in
+   * the meantime that it accepts none.
+   */
   @Test
   void withdrawnRequestIsNotWritten() throws IOException {
     HttpClient client = new HttpClient(1);
@@ -52,9 +55,9 @@
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       URI uri = URI.create("http://127.0.0.1:" + server.getLocalPort() + "/");
       CompletableFuture<Throwable> failure = new CompletableFuture<>();
-      client.stream(HttpCall.get(uri), new Withdrawn(failure));
+      client.stream(HttpCall.get(uri), new WithdrawingListener(failure));
       try (Socket socket = server.accept()) {
-        socket.setSoTimeout(LONG_MILLIS);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         assertEquals(0, received(socket));
         assertEquals(
             FailureType.SEND_WITHDRAWN, HornbeamusherException.from(failure.join()).type());
@@ -72,11 +75,11 @@
     }
   }
 
-  private static final class Withdrawn extends Deaf {
+  private static final class WithdrawingListener extends NoOpListener {
 
     private final CompletableFuture<Throwable> failure;
 
-    Withdrawn(CompletableFuture<Throwable> failure) {
+    WithdrawingListener(CompletableFuture<Throwable> failure) {
       this.failure = failure;
     }
 
@@ -91,7 +94,7 @@
     }
   }
 
-  private static class Deaf implements HttpStreamListener {
+  private static class NoOpListener implements HttpStreamListener {
 
     @Override
     public void head(HttpHead head) {}
--- a/runtime/src/test/java/org/hornbeamusher/http/ConnectionLimitTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/http/ConnectionLimitTest.java
@@ -13,11 +13,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** How many connections to one server are open at once. */
+/** Tests the limit on open connections to one server. */
 class ConnectionLimitTest {
 
   private static final long CONNECT_MILLIS = 2_000;
-  private static final int TRIES = 200;
+  private static final int MAX_TRIES = 200;
 
   private final HttpClient client = new HttpClient(1);
   private final Undertow server =
@@ -45,31 +45,34 @@
     server.stop();
   }
 
-  /** A burst opened more connections than the server accepts, and it reset the rest. */
+  /**
+   * Guards against a burst that opens more connections than the server accepts; the server resets
+   * the others.
+   */
   @Test
   void exchangeBeyondTheLimitFailsUnsentUntilAnotherEnds() throws Exception {
-    HttpStream hanging = client.stream(call("/hang"), new Outcome(), CONNECT_MILLIS, 1);
+    HttpStream hanging = client.stream(call("/hang"), new OutcomeListener(), CONNECT_MILLIS, 1);
     assertEquals("CONNECTIONS_IN_USE", outcome("/"));
     hanging.cancel();
     assertEquals("answered", eventually("answered"));
   }
 
-  /** A connection that waits for its next use was not counted. */
+  /** Guards against a limit that does not count idle connections. */
   @Test
   void idleConnectionCountsAndIsUsedAgain() throws Exception {
     assertEquals("answered", outcome("/"));
-    HttpStream hanging = client.stream(call("/hang"), new Outcome(), CONNECT_MILLIS, 1);
+    HttpStream hanging = client.stream(call("/hang"), new OutcomeListener(), CONNECT_MILLIS, 1);
     assertEquals("CONNECTIONS_IN_USE", outcome("/"));
     hanging.cancel();
   }
 
-  /** Connections that could not be opened were counted for ever. */
+  /** Guards against counting failed connections forever. */
   @Test
-  void failedConnectFreesItsPlace() throws Exception {
+  void failedConnectIsNotCounted() throws Exception {
     server.stop();
     URI gone = URI.create("http://127.0.0.1:1/");
     for (int i = 0; i < 2; i++) {
-      Outcome outcome = new Outcome();
+      OutcomeListener outcome = new OutcomeListener();
       client.stream(HttpCall.get(gone), outcome, CONNECT_MILLIS, 1);
       assertEquals("CONNECT_FAILED", outcome.result.get(CONNECT_MILLIS, TimeUnit.MILLISECONDS));
     }
@@ -77,7 +80,7 @@
 
   private String eventually(String expected) throws Exception {
     String last = "";
-    for (int i = 0; i < TRIES && !last.equals(expected); i++) {
+    for (int i = 0; i < MAX_TRIES && !last.equals(expected); i++) {
       TimeUnit.MILLISECONDS.sleep(10);
       last = outcome("/");
     }
@@ -85,7 +88,7 @@
   }
 
   private String outcome(String path) throws Exception {
-    Outcome outcome = new Outcome();
+    OutcomeListener outcome = new OutcomeListener();
     client.stream(call(path), outcome, CONNECT_MILLIS, 1);
     return outcome.result.get(CONNECT_MILLIS, TimeUnit.MILLISECONDS);
   }
@@ -95,7 +98,7 @@
     return HttpCall.get(URI.create("http://127.0.0.1:" + bound.getPort() + path));
   }
 
-  private static final class Outcome implements HttpStreamListener {
+  private static final class OutcomeListener implements HttpStreamListener {
 
     private final CompletableFuture<String> result = new CompletableFuture<>();
 
--- a/runtime/src/test/java/org/hornbeamusher/http/HttpClientTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/http/HttpClientTest.java
@@ -27,7 +27,7 @@
 class HttpClientTest {
 
   private static final long TIMEOUT_MILLIS = 20_000;
-  private static final long SILENT_MILLIS = 400;
+  private static final long RESPONSE_TIMEOUT_MILLIS = 400;
   private static final int PARTS = 20;
   private static final int PART_BYTES = 8 * 1024;
   private static final long PART_MILLIS = 50;
@@ -76,8 +76,8 @@
     server.stop();
   }
 
-  /** Sends parts of a response with pauses, and its end or not. */
-  private static void sendParts(HttpServerExchange exchange, int parts, boolean whole) {
+  /** Sends parts of a response with pauses, and completes the response if asked to. */
+  private static void sendParts(HttpServerExchange exchange, int parts, boolean complete) {
     exchange.startBlocking();
     OutputStream out = exchange.getOutputStream();
     try {
@@ -86,20 +86,20 @@
         out.flush();
         Thread.sleep(PART_MILLIS);
       }
-      if (whole) {
+      if (complete) {
         exchange.endExchange();
       } else {
-        Thread.sleep(2 * SILENT_MILLIS);
+        Thread.sleep(2 * RESPONSE_TIMEOUT_MILLIS);
       }
     } catch (IOException e) {
-      // The client has gone.
+      // The client has closed the connection.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   @Test
-  void bodiesOfAnySizeArriveAndReturn() {
+  void bodiesOfAnySizeAreSentAndReceived() {
     for (int size : new int[] {0, 1, 1_000, 1_000_000}) {
       String body = "x".repeat(size);
       HttpReply reply =
@@ -113,7 +113,7 @@
   }
 
   @Test
-  void manyExchangesAtOnceGetTheirOwnAnswers() {
+  void concurrentExchangesReceiveTheirOwnResponses() {
     CompletableFuture<?>[] all = new CompletableFuture<?>[200];
     for (int i = 0; i < all.length; i++) {
       String body = "request " + i;
@@ -131,11 +131,11 @@
   }
 
   /**
-   * Nothing listens at the address. The caller of the client must learn that nothing was sent, so
-   * that even a request that may not be repeated can go elsewhere.
+   * Nothing listens at the address. The failure must state that nothing was sent, so that even a
+   * request that is not repeatable can be sent elsewhere.
    */
   @Test
-  void refusedConnectionsAreNotRun() {
+  void refusedConnectionHasOutcomeNotRun() {
     URI nowhere = uri("/echo");
     server.stop();
     HornbeamusherException failure = failureOf(HttpCall.get(nowhere), TIMEOUT_MILLIS);
@@ -144,29 +144,32 @@
   }
 
   /**
-   * The server takes the request and never answers. The timeout ends the exchange, and since the
-   * request may have been acted on, the outcome is unknown.
+   * The server receives the request and never responds. The timeout ends the exchange, and the
+   * outcome is unknown because the request may have run.
    */
   @Test
-  void missingAnswersAreUnknown() {
+  void missingResponseHasOutcomeUnknown() {
     HornbeamusherException failure = failureOf(HttpCall.get(uri("/never")), 50);
     assertEquals(FailureType.CONNECTION_CLOSED, failure.type());
     assertEquals(Outcome.UNKNOWN, failure.outcome());
   }
 
-  /** Guards against a response that is cut because its size takes longer than a small one may. */
+  /**
+   * Guards against a timeout on the total time of a response, which would abort a large response
+   * over a slow connection.
+   */
   @Test
   void largeResponseOverSlowConnectionArrives() {
-    HttpReply reply = client.send(HttpCall.get(uri("/slow")), SILENT_MILLIS).join();
+    HttpReply reply = client.send(HttpCall.get(uri("/slow")), RESPONSE_TIMEOUT_MILLIS).join();
     assertEquals(PARTS * PART_BYTES, reply.body().length);
-    assertTrue(reply.transfer().millis() > SILENT_MILLIS, reply.transfer().toString());
+    assertTrue(reply.transfer().millis() > RESPONSE_TIMEOUT_MILLIS, reply.transfer().toString());
     assertEquals(PARTS * PART_BYTES, reply.transfer().bytes());
   }
 
-  /** Guards against a failure that hides how much of the response had arrived. */
+  /** Guards against a failure that does not report how much of the response was received. */
   @Test
-  void responseThatStopsMidwayIsGivenUpAndSaysHowMuchCame() {
-    HornbeamusherException failure = failureOf(HttpCall.get(uri("/half")), SILENT_MILLIS);
+  void stalledResponseFailsAndReportsReceivedBytes() {
+    HornbeamusherException failure = failureOf(HttpCall.get(uri("/half")), RESPONSE_TIMEOUT_MILLIS);
     assertEquals(FailureType.CONNECTION_CLOSED, failure.type());
     assertEquals(
         Optional.of((long) PART_BYTES),
--- a/runtime/src/test/java/org/hornbeamusher/http/KeepAliveTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/http/KeepAliveTest.java
@@ -8,7 +8,10 @@
 
 class KeepAliveTest {
 
-  /** A close among other options was not read, and the next request met the closing connection. */
+  /**
+   * Guards against ignoring "close" among other options: the next request would be sent on a
+   * connection that the server closes.
+   */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -19,7 +22,7 @@
     assertEquals(0, KeepAlive.usableMillis(new HttpHead(200, List.of(connection, timeout))));
   }
 
-  /** Options in a second field of the same name were not read. */
+  /** Guards against ignoring the options in a second Connection header. */
   @ParameterizedTest
   @CsvSource({"X-Trace,close", "close,X-Trace"})
   void closeInAnyFieldCounts(String first, String second) {
