--- a/runtime/src/main/java/org/hornbeamusher/endpoint/EngineOrders.java
+++ b/runtime/src/main/java/org/hornbeamusher/endpoint/EngineOrders.java
@@ -22,14 +22,14 @@
 import org.hornbeamusher.ids.EndpointId;
 import org.hornbeamusher.ids.FencingNumber;
 
-/** Orders to one engine, and what it says of itself. */
+/** A client that sends load, unload and cancel orders to one engine and reads its state. */
 public final class EngineOrders {
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int OK = 200;
   private static final int CONFLICT = 409;
 
-  /** A state answer comes from memory; a second without one means that the engine is gone. */
+  /** The engine answers from memory; without a response within 1 s it counts as unavailable. */
   private static final long STATE_TIMEOUT_MILLIS = 1_000;
 
   private final EndpointId endpoint;
@@ -43,8 +43,8 @@
    *
    * @param endpoint the engine
    * @param uri its address
-   * @param http carries the calls
-   * @param orderTimeoutMillis how long an order may take before its answer counts as lost
+   * @param http sends the requests
+   * @param orderTimeoutMillis the time after which the response to an order counts as lost
    */
   public EngineOrders(EndpointId endpoint, URI uri, HttpClient http, long orderTimeoutMillis) {
     this.endpoint = endpoint;
@@ -54,7 +54,7 @@
   }
 
   /**
-   * Sets who receives what the engine's refusals state.
+   * Sets the listener for the Retry-After values of the engine's responses.
    *
    * @param listener called on the client's threads
    */
@@ -78,10 +78,10 @@
    * Orders the engine to load an adapter.
    *
    * @param adapter the adapter
-   * @param weights where the weight store keeps it
-   * @param fencing the number of this agent's lease
-   * @return completes when it is resident; fails with {@code LOAD_FAILED}, {@code
-   *     STALE_FENCING_NUMBER}, or {@code CONNECTION_CLOSED} when the answer was lost
+   * @param weights its location in the weight store
+   * @param fencing the fencing number of this agent
+   * @return completes when the adapter is resident; fails with {@code LOAD_FAILED}, {@code
+   *     STALE_FENCING_NUMBER}, or {@code CONNECTION_CLOSED} when the response was lost
    */
   public CompletableFuture<Void> load(AdapterRef adapter, String weights, FencingNumber fencing) {
     ObjectNode order = JSON.createObjectNode();
@@ -92,11 +92,11 @@
   }
 
   /**
-   * Orders the engine to drop an adapter.
+   * Orders the engine to unload an adapter.
    *
    * @param adapter the adapter
-   * @param fencing the number of this agent's lease
-   * @return as for {@link #load}
+   * @param fencing the fencing number of this agent
+   * @return completes when the engine has responded; fails as for {@link #load}
    */
   public CompletableFuture<Void> unload(AdapterRef adapter, FencingNumber fencing) {
     ObjectNode order = JSON.createObjectNode();
@@ -106,11 +106,11 @@
   }
 
   /**
-   * Ends a request. An engine keeps a request whose connection closed, so that it can be resumed;
-   * only this frees its place in the batch.
+   * Cancels a request. An engine keeps a request whose connection was closed, so that it can be
+   * resumed; only this frees its slot in the batch.
    *
    * @param requestId the request
-   * @return completes when the engine has answered, whatever it said
+   * @return completes when the engine has responded, with any status
    */
   public CompletableFuture<Void> cancel(String requestId) {
     ObjectNode order = JSON.createObjectNode();
@@ -121,9 +121,9 @@
   }
 
   /**
-   * Asks the engine what it holds.
+   * Reads the state of the engine.
    *
-   * @return its state; fails with {@code CONNECT_FAILED} when nothing listens
+   * @return its state; fails with {@code CONNECT_FAILED} when nothing listens at its address
    */
   public CompletableFuture<EngineState> state() {
     return send(HttpCall.get(uri.resolve("/state")), STATE_TIMEOUT_MILLIS)
--- a/runtime/src/main/java/org/hornbeamusher/endpoint/EngineState.java
+++ b/runtime/src/main/java/org/hornbeamusher/endpoint/EngineState.java
@@ -4,12 +4,12 @@
 import org.hornbeamusher.ids.AdapterRef;
 
 /**
- * What an engine says of itself, fresh.
+ * The state of an engine, as read from it.
  *
  * @param incarnation changes when the engine restarts
- * @param resident the adapters it holds
- * @param running the requests it runs
- * @param fencing the highest fencing number it has seen
+ * @param resident the resident adapters
+ * @param running the number of running requests
+ * @param fencing the highest fencing number that it has received
  */
 public record EngineState(String incarnation, Set<AdapterRef> resident, int running, long fencing) {
 
--- a/runtime/src/main/java/org/hornbeamusher/endpoint/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/endpoint/package-info.java
@@ -1,2 +1,2 @@
-/** What an agent says to the endpoint beside it, over HTTP. */
+/** The HTTP client of an agent for the engine beside it. */
 package org.hornbeamusher.endpoint;
