--- a/runtime/src/main/java/org/hornbeamusher/loop/EventLoop.java
+++ b/runtime/src/main/java/org/hornbeamusher/loop/EventLoop.java
@@ -5,24 +5,24 @@
 /**
  * A single thread that runs tasks in order.
  *
- * <p>Everything an entry or agent knows is confined to its loop, so that no decision is made on
- * half-changed state and none needs a lock. A task that blocks holds up everything else.
+ * <p>The state of an entry or agent is confined to its loop, so that every decision sees a
+ * consistent state without locks. A task that blocks delays all others.
  */
 public interface EventLoop extends Executor {
 
   /**
-   * Runs a task later.
+   * Runs a task after a delay.
    *
-   * @param delayMillis from now
-   * @param task what to run
-   * @return cancels it
+   * @param delayMillis the delay
+   * @param task the task
+   * @return a handle that cancels the task
    */
   Timer after(long delayMillis, Runnable task);
 
   /** A task that has not run yet. */
   interface Timer {
 
-    /** Keeps the task from running; does nothing once it ran. */
+    /** Cancels the task; does nothing if it has run already. */
     void cancel();
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/loop/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/loop/package-info.java
@@ -1,2 +1,2 @@
-/** One thread that runs the shells of a process, and its timers. */
+/** The event loop of a process: one thread that runs its event handlers and timers. */
 package org.hornbeamusher.loop;
--- a/runtime/src/test/java/org/hornbeamusher/loop/SimulatedLoop.java
+++ b/runtime/src/test/java/org/hornbeamusher/loop/SimulatedLoop.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import org.hornbeamusher.clock.ManualClock;
 
-/** A loop whose time passes as fast as its tasks run. */
+/** An event loop on simulated time, which advances to the next task without waiting. */
 public final class SimulatedLoop implements EventLoop {
 
   private final ManualClock clock = new ManualClock(0);
@@ -29,7 +29,7 @@
     return () -> tasks.remove(task);
   }
 
-  /** Runs every task that is due until then. */
+  /** Runs every task that is due by this time, in order. */
   public void runUntil(long millis) {
     while (!tasks.isEmpty() && tasks.peek().atMillis() <= millis) {
       Task next = tasks.poll();
