--- a/runtime/src/main/java/org/hornbeamusher/wire/WireSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/WireSettings.java
@@ -1,12 +1,13 @@
 package org.hornbeamusher.wire;
 
 /**
- * Intervals and bounds of connections.
+ * Intervals and limits of connections.
  *
- * @param heartbeatIntervalMillis how often each end says that it lives
- * @param heartbeatTimeoutMillis after how long without a word a connection is given up
- * @param maxConnectTimeoutMillis how long opening a connection may take at the most
- * @param maxQueuedMessages most messages that wait to be written
+ * @param heartbeatIntervalMillis the interval at which each peer sends heartbeats
+ * @param heartbeatTimeoutMillis the time without any received byte after which a connection is
+ *     closed
+ * @param maxConnectTimeoutMillis the longest timeout of an attempt to connect
+ * @param maxQueuedMessages the maximum number of messages that wait to be written
  */
 public record WireSettings(
     long heartbeatIntervalMillis,
@@ -15,8 +16,8 @@
     int maxQueuedMessages) {
 
   /**
-   * Figures for today: five heartbeats a silence, so that one lost or late one gives nothing up,
-   * and a dead connection is found within 2.5 s.
+   * The timeout is five heartbeat intervals, so that a lost or late heartbeat closes no connection,
+   * and a dead connection is detected within 2.5 s.
    */
   public static final WireSettings DEFAULT = new WireSettings(500, 2_500, 1_000, 16_384);
 }
