--- a/runtime/src/main/java/org/hornbeamusher/answers/AnswerAssembler.java
+++ b/runtime/src/main/java/org/hornbeamusher/answers/AnswerAssembler.java
@@ -7,127 +7,131 @@
 import java.util.zip.CRC32C;
 
 /**
- * Puts the parts of one attempt's answer in order and decides whether the answer is whole.
+ * Reorders the numbered parts of one attempt's response and decides whether the response is
+ * complete.
  *
- * <p>Parts are numbered from 0; a closing frame states their count and checksum. A part is handed
- * on as soon as every earlier one was, and once only. The answer is whole only when the closing
- * frame has come, all parts were handed on and the checksum over them agrees: a stream that merely
- * stops is cut, however complete it looks. Example:
+ * <p>Parts are numbered from 0; a closing frame states their count and checksum. A part is
+ * delivered exactly once, as soon as all earlier parts were delivered. The response is complete
+ * only when the closing frame was received, all parts were delivered and the checksum over them
+ * matches: a stream that ends without a closing frame is truncated, even if its text looks
+ * complete. Example:
  *
  * <pre>
- * part 1 "b"    -> nothing yet
+ * part 1 "b"    -> buffered
  * part 0 "a"    -> "a", "b"
- * part 1 "b"    -> nothing, it was handed on before
+ * part 1 "b"    -> ignored as a duplicate
  * closing 3     -> open: part 2 is missing
- * part 2 "c"    -> "c", whole
+ * part 2 "c"    -> "c", complete
  * </pre>
  *
- * <p>Frames of another attempt are ignored: a repeated request has a new attempt number, and a
- * frame of the first try that arrives late must not end up in the second one's answer. Parts that
- * came too early are kept up to a bound of bytes; more than that means that the sender ignores its
- * credit.
+ * <p>Frames of other attempts are ignored: a retry has a new attempt number, and a late frame of
+ * the first attempt must not end up in the response of the second. Parts that arrive out of order
+ * are buffered up to a byte limit; a sender that exceeds it ignores its flow-control credit.
  *
- * <p>Not safe for use by several threads at once.
+ * <p>Not thread-safe.
  */
 public final class AnswerAssembler {
 
   private static final AnswerState OPEN = new AnswerState.Open();
-  private static final long NO_CLOSING = -1;
+  private static final long NOT_STATED = -1;
 
   private final long attempt;
-  private final long maximumKeptBytes;
+  private final long maxBufferedBytes;
 
-  /** Parts that came too early. Invariant: every key is greater than {@link #next}. */
-  private final TreeMap<Long, byte[]> early = new TreeMap<>();
+  /** Parts that arrived out of order. Invariant: every key is greater than {@link #next}. */
+  private final TreeMap<Long, byte[]> buffered = new TreeMap<>();
 
   private final CRC32C checksum = new CRC32C();
 
-  /** The part to hand on next. Invariant: all earlier ones were, once. */
+  /**
+   * The number of the next part to deliver. Invariant: all lower numbers were delivered exactly
+   * once.
+   */
   private long next;
 
-  private long keptBytes;
-  private long statedCount = NO_CLOSING;
+  private long bufferedBytes;
+  private long statedCount = NOT_STATED;
   private long statedChecksum;
   private AnswerState state = OPEN;
 
   /**
-   * Creates an assembler that has received nothing.
+   * Creates an assembler that has received no frames.
    *
-   * @param attempt the attempt whose frames count
-   * @param maximumKeptBytes most bytes kept for parts that came too early
+   * @param attempt the attempt whose frames are accepted
+   * @param maxBufferedBytes greatest number of bytes buffered for parts that arrive out of order
    */
-  public AnswerAssembler(long attempt, long maximumKeptBytes) {
+  public AnswerAssembler(long attempt, long maxBufferedBytes) {
     this.attempt = attempt;
-    this.maximumKeptBytes = maximumKeptBytes;
+    this.maxBufferedBytes = maxBufferedBytes;
   }
 
   /**
-   * Takes in a part.
+   * Adds a received part.
    *
    * @param ofAttempt the attempt the frame names
    * @param sequence the part's number, from 0
    * @param bytes the part
-   * @return what may be handed on
+   * @return the parts that can now be delivered, and the state
    */
   public Delivery part(long ofAttempt, long sequence, byte[] bytes) {
     if (ofAttempt != attempt || state.ended() || sequence < next) {
-      return nothing();
+      return noParts();
     }
-    if (statedCount != NO_CLOSING && sequence >= statedCount) {
-      return end(AnswerState.Reason.COUNT);
+    if (statedCount != NOT_STATED && sequence >= statedCount) {
+      return mismatch(AnswerState.Reason.COUNT);
     }
-    byte[] known = early.get(sequence);
+    byte[] known = buffered.get(sequence);
     if (known != null) {
-      return Arrays.equals(known, bytes) ? nothing() : end(AnswerState.Reason.CONTENT);
+      return Arrays.equals(known, bytes) ? noParts() : mismatch(AnswerState.Reason.CONTENT);
     }
-    early.put(sequence, bytes);
-    keptBytes += bytes.length;
+    buffered.put(sequence, bytes);
+    bufferedBytes += bytes.length;
     List<byte[]> ready = takeReady();
-    if (keptBytes > maximumKeptBytes) {
-      return end(AnswerState.Reason.OVERFLOW);
+    if (bufferedBytes > maxBufferedBytes) {
+      return mismatch(AnswerState.Reason.OVERFLOW);
     }
-    settle();
+    checkComplete();
     return new Delivery(ready, state);
   }
 
   /**
-   * Takes in the closing frame.
+   * Processes the closing frame.
    *
    * @param ofAttempt the attempt the frame names
-   * @param count how many parts there are
+   * @param count the number of parts
    * @param partsChecksum CRC-32C over all parts
-   * @return no parts, and whether the answer is whole
+   * @return no parts, and the state after the frame
    */
   public Delivery closing(long ofAttempt, long count, long partsChecksum) {
     if (ofAttempt != attempt || state.ended()) {
-      return nothing();
+      return noParts();
     }
-    boolean repeated = statedCount == count && statedChecksum == partsChecksum;
-    boolean contradicts = statedCount != NO_CLOSING && !repeated;
-    if (contradicts || count < next || (!early.isEmpty() && early.lastKey() >= count)) {
-      return end(AnswerState.Reason.COUNT);
+    boolean duplicate = statedCount == count && statedChecksum == partsChecksum;
+    boolean contradicts = statedCount != NOT_STATED && !duplicate;
+    if (contradicts || count < next || (!buffered.isEmpty() && buffered.lastKey() >= count)) {
+      return mismatch(AnswerState.Reason.COUNT);
     }
     statedCount = count;
     statedChecksum = partsChecksum;
-    settle();
-    return nothing();
+    checkComplete();
+    return noParts();
   }
 
   /**
-   * Records that no more frames will come.
+   * Records that no more frames will arrive.
    *
    * @return the final state
    */
   public AnswerState cut() {
     if (!state.ended()) {
       state = new AnswerState.Cut();
-      early.clear();
+      buffered.clear();
     }
     return state;
   }
 
   /**
-   * Returns what is known.
+   * Returns the state of the response.
    *
    * @return the state after the latest frame
    */
@@ -137,16 +141,16 @@
 
   private List<byte[]> takeReady() {
     List<byte[]> ready = new ArrayList<>();
-    for (byte[] part = early.remove(next); part != null; part = early.remove(next)) {
+    for (byte[] part = buffered.remove(next); part != null; part = buffered.remove(next)) {
       checksum.update(part);
-      keptBytes -= part.length;
+      bufferedBytes -= part.length;
       ready.add(part);
       next++;
     }
     return ready;
   }
 
-  private void settle() {
+  private void checkComplete() {
     if (next == statedCount) {
       state =
           checksum.getValue() == statedChecksum
@@ -155,13 +159,13 @@
     }
   }
 
-  private Delivery end(AnswerState.Reason reason) {
+  private Delivery mismatch(AnswerState.Reason reason) {
     state = new AnswerState.Mismatch(reason);
-    early.clear();
-    return nothing();
+    buffered.clear();
+    return noParts();
   }
 
-  private Delivery nothing() {
+  private Delivery noParts() {
     return new Delivery(List.of(), state);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/answers/AnswerState.java
+++ b/runtime/src/main/java/org/hornbeamusher/answers/AnswerState.java
@@ -1,10 +1,10 @@
 package org.hornbeamusher.answers;
 
-/** What is known of an answer. */
+/** State of a response while its frames arrive. */
 public sealed interface AnswerState {
 
   /**
-   * Tells whether later frames can change anything.
+   * Tells whether the state is final, so that later frames no longer change it.
    *
    * @return true for all but {@link Open}
    */
@@ -12,23 +12,23 @@
     return !(this instanceof Open);
   }
 
-  /** More frames may come. */
+  /** More frames may arrive. */
   record Open() implements AnswerState {}
 
-  /** Every part was delivered, and their count and checksum are those the sender stated. */
+  /** Every part was delivered, and count and checksum match those that the sender stated. */
   record Whole() implements AnswerState {}
 
-  /** The connection or the stream ended before the answer was whole. */
+  /** The connection or the stream ended before the response was complete. */
   record Cut() implements AnswerState {}
 
   /**
-   * The parts are not what the sender stated; the answer must not be passed off as whole.
+   * The parts contradict what the sender stated; the response must not be treated as complete.
    *
-   * @param reason what did not fit
+   * @param reason what differed
    */
   record Mismatch(Reason reason) implements AnswerState {}
 
-  /** What did not fit. */
+  /** Reason for a mismatch. */
   enum Reason {
     /** A part or closing frame contradicts the number of parts. */
     COUNT,
@@ -36,7 +36,7 @@
     CHECKSUM,
     /** A sequence number arrived twice with different bytes. */
     CONTENT,
-    /** More parts are out of order than may be kept. */
+    /** The parts that arrived out of order exceed the buffer limit. */
     OVERFLOW
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/answers/Delivery.java
+++ b/runtime/src/main/java/org/hornbeamusher/answers/Delivery.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What one frame led to.
+ * Result of processing one frame.
  *
- * @param parts what the caller gets now, in order; mostly one part
- * @param state what is known of the answer afterwards
+ * @param parts the parts that can now be delivered, in order; usually one
+ * @param state the state of the response afterwards
  */
 public record Delivery(List<byte[]> parts, AnswerState state) {
 
--- a/runtime/src/main/java/org/hornbeamusher/answers/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/answers/package-info.java
@@ -1,2 +1,2 @@
-/** Puts an answer together from frames that may be late, repeated, out of order or missing. */
+/** Assembles a response from frames that may be late, duplicated, out of order or missing. */
 package org.hornbeamusher.answers;
--- a/runtime/src/test/java/org/hornbeamusher/answers/AnswerAssemblerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/answers/AnswerAssemblerTest.java
@@ -19,7 +19,7 @@
 
   private static final long ATTEMPT = 7;
   private static final AnswerState OPEN = new AnswerState.Open();
-  private static final AnswerState WHOLE = new AnswerState.Whole();
+  private static final AnswerState COMPLETE = new AnswerState.Whole();
 
   private final AnswerAssembler assembler = new AnswerAssembler(ATTEMPT, 8);
   private final StringBuilder delivered = new StringBuilder();
@@ -33,17 +33,17 @@
     part(2, "c");
 
     assertEquals("abc", delivered.toString());
-    assertEquals(WHOLE, assembler.state());
+    assertEquals(COMPLETE, assembler.state());
   }
 
   @Test
-  void emptyAnswerIsWhole() {
-    assertEquals(WHOLE, closing(0, ""));
+  void emptyResponseIsComplete() {
+    assertEquals(COMPLETE, closing(0, ""));
   }
 
   /**
-   * A request was sent again after its first connection was lost, and a frame of the first try
-   * arrives late. It must not be mixed into the answer of the second.
+   * A request is retried after its connection was lost, and a frame of the first attempt arrives
+   * late; it must not be mixed into the response of the retry.
    */
   @Test
   void framesOfAnotherAttemptAreIgnored() {
@@ -55,16 +55,18 @@
     assertEquals("a", delivered.toString());
   }
 
-  /** The engine dies in the middle of a sentence that could have been the end. */
+  /** The engine crashes mid-stream, after text that reads like a complete response. */
   @Test
-  void streamThatStopsIsCut() {
+  void interruptedStreamIsTruncated() {
     part(0, "a");
 
     assertEquals(new AnswerState.Cut(), assembler.cut());
     assertEquals(new AnswerState.Cut(), closing(1, "a"));
   }
 
-  /** A frame was garbled or belongs elsewhere; the caller must not take the answer for whole. */
+  /**
+   * A frame was corrupted or belongs to another response, which must not be treated as complete.
+   */
   @Test
   void wrongChecksumIsMismatch() {
     part(0, "a");
@@ -87,9 +89,9 @@
     assertEquals(new AnswerState.Mismatch(AnswerState.Reason.CONTENT), assembler.state());
   }
 
-  /** A sender that ignores its credit must not fill this process's memory. */
+  /** A sender that ignores its flow-control credit must not exhaust the memory of this process. */
   @Test
-  void partsKeptForLaterAreBounded() {
+  void bufferedPartsAreBounded() {
     part(1, "12345678");
     assertEquals(OPEN, assembler.state());
     part(2, "9");
@@ -98,7 +100,7 @@
   }
 
   @Property(seed = "41", tries = 500)
-  void anyOrderWithRepeatsGivesTheWholeAnswerOnce(
+  void anyOrderWithDuplicatesYieldsTheCompleteResponseOnce(
       @ForAll @IntRange(max = 12) int count, @ForAll long seed) {
     Random random = new Random(seed);
     AnswerAssembler large = new AnswerAssembler(ATTEMPT, 1_000);
@@ -107,34 +109,34 @@
       Collections.addAll(frames, i, i);
     }
     Collections.shuffle(frames, random);
-    String whole = "abcdefghijkl".substring(0, count);
+    String complete = "abcdefghijkl".substring(0, count);
     for (int frame : frames) {
       collect(
           frame == count
-              ? large.closing(ATTEMPT, count, checksum(whole))
-              : large.part(ATTEMPT, frame, bytes(whole.substring(frame, frame + 1))));
+              ? large.closing(ATTEMPT, count, checksum(complete))
+              : large.part(ATTEMPT, frame, bytes(complete.substring(frame, frame + 1))));
     }
 
-    assertEquals(whole, delivered.toString());
-    assertEquals(WHOLE, large.state());
+    assertEquals(complete, delivered.toString());
+    assertEquals(COMPLETE, large.state());
     delivered.setLength(0);
   }
 
   @Property(seed = "42", tries = 500)
-  void anyMissingFrameKeepsTheAnswerFromBeingWhole(
+  void anyMissingFrameLeavesTheResponseIncomplete(
       @ForAll @IntRange(min = 1, max = 12) int count, @ForAll long seed) {
     Random random = new Random(seed);
     AnswerAssembler large = new AnswerAssembler(ATTEMPT, 1_000);
     int missing = random.nextInt(count + 1);
-    String whole = "abcdefghijkl".substring(0, count);
+    String complete = "abcdefghijkl".substring(0, count);
     for (int frame = 0; frame <= count; frame++) {
       if (frame == missing) {
         continue;
       }
       if (frame == count) {
-        large.closing(ATTEMPT, count, checksum(whole));
+        large.closing(ATTEMPT, count, checksum(complete));
       } else {
-        large.part(ATTEMPT, frame, bytes(whole.substring(frame, frame + 1)));
+        large.part(ATTEMPT, frame, bytes(complete.substring(frame, frame + 1)));
       }
     }
 
@@ -146,17 +148,17 @@
     collect(assembler.part(ATTEMPT, sequence, bytes(text)));
   }
 
-  private AnswerState closing(long count, String whole) {
-    return assembler.closing(ATTEMPT, count, checksum(whole)).state();
+  private AnswerState closing(long count, String complete) {
+    return assembler.closing(ATTEMPT, count, checksum(complete)).state();
   }
 
   private void collect(Delivery delivery) {
     delivery.parts().forEach(part -> delivered.append(new String(part, StandardCharsets.UTF_8)));
   }
 
-  private static long checksum(String whole) {
+  private static long checksum(String complete) {
     CRC32C crc = new CRC32C();
-    crc.update(bytes(whole));
+    crc.update(bytes(complete));
     return crc.getValue();
   }
 
