--- a/runtime/src/main/java/org/hornbeamusher/entry/AgentLinks.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/AgentLinks.java
@@ -38,15 +38,15 @@
 import org.hornbeamusher.wire.WireSockets;
 
 /**
- * The entry's connections to agents: carries out what {@link ConnectionPlan} and {@link PeerTable}
+ * Maintains the entry's connections to agents as {@link ConnectionPlan} and {@link PeerTable}
  * decide.
  *
- * <p>An agent takes work here from its first load report on, and until it says that it leaves, its
- * connection ends, or it reports that its endpoint cannot be reached.
+ * <p>An agent receives requests from its first load report until it reports that it is leaving, its
+ * connection ends, or it reports that its endpoint is unreachable.
  */
 final class AgentLinks {
 
-  private static final EndpointLoad NOTHING_KNOWN = new EndpointLoad(0, 0, 0, 0, 0, 0, Set.of());
+  private static final EndpointLoad NO_LOAD = new EndpointLoad(0, 0, 0, 0, 0, 0, Set.of());
 
   private final Message.Hello own;
   private final WireSettings settings;
@@ -54,17 +54,17 @@
   private final Clock clock;
   private final EntryDecisions decisions;
   private final DocumentExchange exchange;
-  private final BiConsumer<WireConnection, Message> others;
-  private final PeerTable table = new PeerTable();
+  private final BiConsumer<WireConnection, Message> otherMessages;
+  private final PeerTable peerTable = new PeerTable();
   private final Map<String, WireConnector> connectors = new HashMap<>();
   private final Map<WireConnection, Agent> agents = new ConcurrentHashMap<>();
 
-  /** The agent that an endpoint's work goes to. */
-  private final Map<EndpointId, Agent> current = new ConcurrentHashMap<>();
+  /** The agent that the requests for an endpoint are sent to. */
+  private final Map<EndpointId, Agent> currentAgents = new ConcurrentHashMap<>();
 
   private long connectionsOpened;
 
-  /** The process at the other end of one connection. */
+  /** The agent at the other end of one connection. */
   private static final class Agent {
     final long connection;
     final Incarnation incarnation;
@@ -72,13 +72,13 @@
     final AvailabilityZone zone;
     final PoolName pool;
 
-    /** The newest report. */
-    EndpointLoad load = NOTHING_KNOWN;
+    /** The latest load report. */
+    EndpointLoad load = NO_LOAD;
 
-    /** Whether the peer table lets it take work. */
-    boolean takesWork;
+    /** Whether the peer table permits sending it requests. */
+    boolean available;
 
-    /** Whether routing knows it. Invariant: only while it takes work. */
+    /** Whether the router knows its endpoint. Invariant: true only while it is available. */
     boolean routed;
 
     Agent(long connection, Message.Hello hello, AgentLink link) {
@@ -97,26 +97,26 @@
       Clock clock,
       EntryDecisions decisions,
       DocumentExchange exchange,
-      BiConsumer<WireConnection, Message> others) {
+      BiConsumer<WireConnection, Message> otherMessages) {
     this.own = own;
     this.settings = settings;
     this.sockets = sockets;
     this.clock = clock;
     this.decisions = decisions;
     this.exchange = exchange;
-    this.others = others;
+    this.otherMessages = otherMessages;
   }
 
-  /** Takes in the platform's list of agents. */
-  synchronized void follow(List<Instance> listed) {
-    List<ConnectionPlan.Place> places = new ArrayList<>();
+  /** Applies the platform's list of agents. */
+  synchronized void updateFromList(List<Instance> listed) {
+    List<ConnectionPlan.Place> locations = new ArrayList<>();
     List<ListedPeer> peers = new ArrayList<>();
     for (Instance agent : listed) {
-      places.add(new ConnectionPlan.Place(address(agent), agent.zone()));
+      locations.add(new ConnectionPlan.Place(address(agent), agent.zone()));
       peers.add(new ListedPeer(address(agent), agent.id(), agent.leaving()));
     }
     Set<String> chosen =
-        ConnectionPlan.choose(own.instance(), new AvailabilityZone(own.zone()), places);
+        ConnectionPlan.choose(own.instance(), new AvailabilityZone(own.zone()), locations);
     listed.stream()
         .filter(agent -> chosen.contains(address(agent)))
         .forEach(agent -> connectors.computeIfAbsent(address(agent), key -> connect(agent)));
@@ -125,17 +125,17 @@
         connectors.remove(known).stopWhenClosed();
       }
     }
-    apply(table.listed(peers));
+    apply(peerTable.listed(peers));
   }
 
   /** Returns how many connections to agents are open. */
-  int connections() {
+  int connectionCount() {
     return agents.size();
   }
 
-  /** Describes every endpoint that a connection leads to, in order of their names. */
+  /** Returns the status of every endpoint that has an available agent, ordered by endpoint id. */
   synchronized List<ProcessStatus.Endpoint> status() {
-    return current.values().stream()
+    return currentAgents.values().stream()
         .sorted(Comparator.comparing(agent -> agent.link.endpoint()))
         .map(AgentLinks::status)
         .toList();
@@ -160,11 +160,11 @@
   }
 
   Optional<AgentLink> link(EndpointId endpoint) {
-    return Optional.ofNullable(current.get(endpoint)).map(agent -> agent.link);
+    return Optional.ofNullable(currentAgents.get(endpoint)).map(agent -> agent.link);
   }
 
-  /** Counts the endpoints that routing knows. */
-  synchronized int routed() {
+  /** Returns how many endpoints the router knows. */
+  synchronized int routedCount() {
     return (int) agents.values().stream().filter(agent -> agent.routed).count();
   }
 
@@ -190,19 +190,20 @@
     return connector;
   }
 
-  private synchronized void opened(String address, WireConnection connection, Message.Hello hello) {
+  private synchronized void connectionOpened(
+      String address, WireConnection connection, Message.Hello hello) {
     long number = connectionsOpened++;
     Agent agent =
         new Agent(number, hello, new AgentLink(new EndpointId(hello.endpoint()), connection));
     agents.put(connection, agent);
-    apply(table.introduced(address, number, hello.instance(), agent.incarnation));
+    apply(peerTable.introduced(address, number, hello.instance(), agent.incarnation));
   }
 
-  private synchronized void leaving(String address, Agent agent) {
-    apply(table.leaving(address, agent.incarnation));
+  private synchronized void agentLeaving(String address, Agent agent) {
+    apply(peerTable.leaving(address, agent.incarnation));
   }
 
-  private synchronized void closed(
+  private synchronized void connectionClosed(
       String address, WireConnection connection, HornbeamusherException reason) {
     Agent agent = agents.remove(connection);
     if (agent == null) {
@@ -210,18 +211,19 @@
     }
     EventLog.log(
         EventType.PEER_LOST, "peer", connection.peer().instance(), "reason", reason.type());
-    apply(table.disconnected(address, agent.connection));
-    stopWork(agent);
+    apply(peerTable.disconnected(address, agent.connection));
+    makeUnavailable(agent);
     agent.link.lost(reason);
   }
 
   private void apply(List<PeerEvent> events) {
     for (PeerEvent event : events) {
       switch (event) {
-        case PeerEvent.Joined joined -> agentsOf(joined.incarnation()).forEach(this::startWork);
-        case PeerEvent.Leaving leaving -> agentsOf(leaving.incarnation()).forEach(this::stopWork);
-        case PeerEvent.Lost lost -> agentsOf(lost.incarnation()).forEach(this::stopWork);
-        // Connectors open a new connection by themselves whenever one ends.
+        case PeerEvent.Joined joined -> agentsOf(joined.incarnation()).forEach(this::makeAvailable);
+        case PeerEvent.Leaving leaving ->
+            agentsOf(leaving.incarnation()).forEach(this::makeUnavailable);
+        case PeerEvent.Lost lost -> agentsOf(lost.incarnation()).forEach(this::makeUnavailable);
+        // Connectors reconnect by themselves whenever a connection ends.
         case PeerEvent.Connect connect -> {}
       }
     }
@@ -231,26 +233,26 @@
     return agents.values().stream().filter(agent -> agent.incarnation.equals(incarnation)).toList();
   }
 
-  private void startWork(Agent agent) {
-    agent.takesWork = true;
-    current.put(agent.link.endpoint(), agent);
+  private void makeAvailable(Agent agent) {
+    agent.available = true;
+    currentAgents.put(agent.link.endpoint(), agent);
   }
 
-  private void stopWork(Agent agent) {
-    agent.takesWork = false;
+  private void makeUnavailable(Agent agent) {
+    agent.available = false;
     unroute(agent);
-    current.remove(agent.link.endpoint(), agent);
+    currentAgents.remove(agent.link.endpoint(), agent);
   }
 
   private void unroute(Agent agent) {
     if (agent.routed) {
       agent.routed = false;
-      decisions.left(agent.link.endpoint());
+      decisions.endpointLeft(agent.link.endpoint());
     }
   }
 
-  private synchronized void reported(Agent agent, Message.LoadReport report) {
-    if (!agent.takesWork || current.get(agent.link.endpoint()) != agent) {
+  private synchronized void loadReported(Agent agent, Message.LoadReport report) {
+    if (!agent.available || currentAgents.get(agent.link.endpoint()) != agent) {
       return;
     }
     if (report.batch() == 0) {
@@ -259,10 +261,10 @@
     }
     if (!agent.routed) {
       agent.routed = true;
-      decisions.joined(agent.link.endpoint(), agent.zone, agent.pool);
+      decisions.endpointJoined(agent.link.endpoint(), agent.zone, agent.pool);
     }
     agent.load = load(report);
-    decisions.reported(agent.link.endpoint(), agent.load);
+    decisions.loadReported(agent.link.endpoint(), agent.load);
   }
 
   private static EndpointLoad load(Message.LoadReport report) {
@@ -278,7 +280,7 @@
         resident);
   }
 
-  /** Hears the connections to one address. */
+  /** Receives the events of the connections to one address. */
   private final class Listener implements WireListener {
 
     private final String address;
@@ -290,7 +292,7 @@
     @Override
     public void opened(WireConnection connection, Message.Hello hello) {
       try {
-        AgentLinks.this.opened(address, connection, hello);
+        AgentLinks.this.connectionOpened(address, connection, hello);
         exchange.opened(connection);
         EventLog.log(EventType.PEER_CONNECTED, "peer", hello.instance());
       } catch (InvalidIdentifierException e) {
@@ -310,11 +312,11 @@
         case Message.Chunk m -> agent.link.heard(m.attempt(), m);
         case Message.Closing m -> agent.link.heard(m.attempt(), m);
         case Message.Failed m -> agent.link.heard(m.attempt(), m);
-        case Message.LoadReport m -> reported(agent, m);
-        case Message.Leaving m -> leaving(address, agent);
+        case Message.LoadReport m -> loadReported(agent, m);
+        case Message.Leaving m -> agentLeaving(address, agent);
         default -> {
           exchange.received(connection, message);
-          others.accept(connection, message);
+          otherMessages.accept(connection, message);
         }
       }
     }
@@ -322,7 +324,7 @@
     @Override
     public void closed(WireConnection connection, HornbeamusherException reason) {
       exchange.closed(connection);
-      AgentLinks.this.closed(address, connection, reason);
+      AgentLinks.this.connectionClosed(address, connection, reason);
     }
 
     @Override
--- a/runtime/src/main/java/org/hornbeamusher/entry/AttemptFailedException.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/AttemptFailedException.java
@@ -3,7 +3,7 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.hornbeamusher.routing.AttemptResult;
 
-/** One attempt of a request failed; the request may be given another. */
+/** Thrown when one attempt of a request failed; the request may be retried. */
 final class AttemptFailedException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/runtime/src/main/java/org/hornbeamusher/entry/AttemptFollower.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/AttemptRunner.java
@@ -12,68 +12,71 @@
 import org.hornbeamusher.routing.AttemptResult;
 import org.hornbeamusher.wire.Message;
 
-/** Follows one attempt from its dispatch to its end and writes what it yields. */
-final class AttemptFollower {
+/** Processes the events of one attempt from its dispatch to its end and writes the response. */
+final class AttemptRunner {
 
   /**
-   * An agent refuses what it cannot finish in time by itself, with the proof that it did not run.
-   * Its word may be on the way when the deadline passes here; it is worth this little wait.
+   * How long to wait beyond the deadline for an agent's refusal. An agent refuses a request that it
+   * cannot finish in time, which proves that the request did not run; the refusal may still be in
+   * transit when the deadline passes here.
    */
-  private static final long GRACE_MILLIS = 50;
+  private static final long DEADLINE_GRACE_MILLIS = 50;
 
-  /** How often routing is told how fast an answer comes that is under way. */
-  private static final long PROGRESS_MILLIS = 1_000;
+  /** Interval at which the progress of a response is reported to the router. */
+  private static final long PROGRESS_INTERVAL_MILLIS = 1_000;
 
   private final AdmittedRequest request;
   private final EndpointId endpoint;
   private final AttemptCall call;
-  private final AnswerWriter writer;
+  private final ResponseWriter writer;
   private final Clock clock;
-  private final AnswerReader reader;
+  private final ResponseReader reader;
   private final long sentMillis;
   private long loadStallMillis;
   private long firstPartMillis = -1;
   private int tokens;
   private long nextProgressMillis;
 
-  AttemptFollower(
+  AttemptRunner(
       AdmittedRequest request,
       EndpointId endpoint,
       AttemptCall call,
-      AnswerWriter writer,
+      ResponseWriter writer,
       Clock clock) {
     this.request = request;
     this.endpoint = endpoint;
     this.call = call;
     this.writer = writer;
     this.clock = clock;
-    this.reader = new AnswerReader(endpoint, request.adapter(), call.attempt());
+    this.reader = new ResponseReader(endpoint, request.adapter(), call.attempt());
     this.sentMillis = clock.millis();
-    this.nextProgressMillis = sentMillis + PROGRESS_MILLIS;
+    this.nextProgressMillis = sentMillis + PROGRESS_INTERVAL_MILLIS;
   }
 
-  /** Returns when the answer is whole and written. */
-  AttemptResult.Answered follow(EntryDecisions decisions)
+  /** Runs until the response is complete and written. */
+  AttemptResult.Answered run(EntryDecisions decisions)
       throws InterruptedException, AttemptFailedException {
-    boolean ended = false;
+    boolean completed = false;
     try {
       while (true) {
-        AttemptEvent event = call.next(request.deadlineMillis() + GRACE_MILLIS - clock.millis());
+        AttemptEvent event =
+            call.next(request.deadlineMillis() + DEADLINE_GRACE_MILLIS - clock.millis());
         if (event == null) {
           throw failed(of(FailureType.DEADLINE_PASSED), expired(), false);
         }
-        boolean whole = handle(event);
-        tellProgress(decisions);
-        if (whole) {
-          ended = true;
-          decisions.tokensSeen(request.document().pool(), tokens, clock.millis() - firstPartMillis);
-          return answered();
+        boolean complete = handle(event);
+        reportProgress(decisions);
+        if (complete) {
+          completed = true;
+          decisions.recordTokenInterval(
+              request.document().pool(), tokens, clock.millis() - firstPartMillis);
+          return completed();
         }
       }
     } catch (HornbeamusherException broken) {
       throw failed(broken, resultOf(broken), false);
     } finally {
-      if (ended) {
+      if (completed) {
         call.close();
       } else {
         call.cancel();
@@ -89,20 +92,20 @@
     return clock.millis() - (firstPartMillis < 0 ? sentMillis : firstPartMillis);
   }
 
-  private void tellProgress(EntryDecisions decisions) {
+  private void reportProgress(EntryDecisions decisions) {
     if (firstPartMillis >= 0 && clock.millis() >= nextProgressMillis) {
-      nextProgressMillis = clock.millis() + PROGRESS_MILLIS;
-      decisions.progress(endpoint, busyMillis(), tokens);
+      nextProgressMillis = clock.millis() + PROGRESS_INTERVAL_MILLIS;
+      decisions.progressReported(endpoint, busyMillis(), tokens);
     }
   }
 
-  private AttemptResult.Answered answered() {
+  private AttemptResult.Answered completed() {
     long first = firstPartMillis < 0 ? clock.millis() : firstPartMillis;
     return new AttemptResult.Answered(
         first - sentMillis, clock.millis() - sentMillis, loadStallMillis, tokens);
   }
 
-  /** Takes in an event and tells whether the answer is whole. */
+  /** Handles an event and tells whether the response is complete. */
   private boolean handle(AttemptEvent event) throws AttemptFailedException {
     return switch (event) {
       case AttemptEvent.Said said -> handle(said.message());
@@ -119,7 +122,7 @@
       case Message.Started started -> loadStallMillis = started.loadStallMillis();
       case Message.Head head ->
           writer.begin(
-              new AnswerHead(
+              new ResponseHead(
                   endpoint,
                   request.adapter().map(Object::toString).orElse(""),
                   loadStallMillis,
@@ -131,13 +134,13 @@
       default ->
           throw failed(of(FailureType.ANSWER_CUT, endpoint), new AttemptResult.Failed(), false);
     }
-    Optional<AnswerEnd> end = reader.end();
+    Optional<ResponseEnd> end = reader.end();
     end.ifPresent(writer::end);
     return end.isPresent();
   }
 
   private void write(Message.Chunk chunk) {
-    List<AnswerPart> parts = reader.read(chunk);
+    List<ResponsePart> parts = reader.read(chunk);
     if (firstPartMillis < 0) {
       firstPartMillis = clock.millis();
     }
--- a/runtime/src/main/java/org/hornbeamusher/entry/CallerApi.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/CallerApi.java
@@ -27,11 +27,11 @@
 import org.hornbeamusher.security.TokenDirectory;
 
 /**
- * The callers' HTTP interface: completions, chat completions, the list of models, and the plain
- * services below {@code /services/}.
+ * Serves the callers' HTTP API: completions, chat completions, the list of models, and the plain
+ * services under {@code /services/}.
  *
- * <p>Each request runs on a virtual thread of its own once its body has arrived. Until then it is a
- * few kilobytes at Undertow, so that callers that send slowly hold no thread.
+ * <p>Each request runs on its own virtual thread once its body has arrived. Until then it occupies
+ * only a few kilobytes in Undertow, so that slow senders hold no thread.
  */
 final class CallerApi implements HttpHandler {
 
@@ -41,35 +41,38 @@
   private static final String SERVICES = "/services/";
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** The part of a prompt that decides which cached prefix it shares, in characters. */
+  /** Length of the prompt prefix whose hash identifies a shared cached prefix, in characters. */
   private static final int PREFIX_CHARACTERS = 256;
 
-  /** A plain call's cost in tokens: about what an engine does in the same few hundred millis. */
-  private static final int PLAIN_COST_TOKENS = 16;
+  /**
+   * Cost of a plain request in tokens: about what an engine generates in the few hundred
+   * milliseconds that such a request takes.
+   */
+  private static final int PLAIN_REQUEST_COST_TOKENS = 16;
 
-  /** When a caller may come back to an entry that holds all it can. */
+  /** Retry-After of an entry whose limit of requests in flight is reached. */
   private static final long FULL_RETRY_MILLIS = 1_000;
 
-  /** What the interface needs of the entry. */
+  /** What the API needs from the entry. */
   interface Host {
 
-    /** Returns a service's document in force. */
-    Optional<ServiceDocument> document(ServiceName service);
+    /** Returns the current document of a service. */
+    Optional<ServiceDocument> currentDocument(ServiceName service);
 
-    /** Returns every document in force. */
-    Iterable<ServiceDocument> documents();
+    /** Returns the current documents of all services. */
+    Iterable<ServiceDocument> currentDocuments();
 
-    /** Tells whether the entry takes no new requests. */
+    /** Tells whether the entry is leaving and accepts no new requests. */
     boolean leaving();
 
-    /** Counts a request in or out and returns how many there are now. */
-    int requests(int change);
+    /** Adds a change to the number of requests in flight and returns the new number. */
+    int adjustInFlight(int change);
 
-    /** Returns how many requests the entry holds at most. */
-    int mostRequests();
+    /** Returns the limit of requests in flight. */
+    int maxInFlight();
 
-    /** Hears of a request that ended in a failure. */
-    void refused(ServiceName service, HornbeamusherException failure);
+    /** Called for each request that ended in a failure. */
+    void requestFailed(ServiceName service, HornbeamusherException failure);
   }
 
   private final Host host;
@@ -79,7 +82,7 @@
   private final ExecutorService executor;
   private final Clock clock;
   private final int bodyBytes;
-  private final long stalledMillis;
+  private final long writeTimeoutMillis;
 
   CallerApi(
       Host host,
@@ -88,7 +91,7 @@
       ExecutorService executor,
       Clock clock,
       int bodyBytes,
-      long stalledMillis) {
+      long writeTimeoutMillis) {
     this.host = host;
     this.tokens = tokens;
     this.runner = runner;
@@ -96,7 +99,7 @@
     this.executor = executor;
     this.clock = clock;
     this.bodyBytes = bodyBytes;
-    this.stalledMillis = stalledMillis;
+    this.writeTimeoutMillis = writeTimeoutMillis;
   }
 
   @Override
@@ -112,10 +115,10 @@
   private void serve(HttpServerExchange exchange, byte[] body) {
     RequestId id = ids.next();
     exchange.getResponseHeaders().put(CallerHeaders.REQUEST_ID, id.value());
-    CallerSink sink = new CallerSink(exchange, stalledMillis);
-    int held = host.requests(1);
+    CallerSink sink = new CallerSink(exchange, writeTimeoutMillis);
+    int inFlight = host.adjustInFlight(1);
     try {
-      if (held > host.mostRequests()) {
+      if (inFlight > host.maxInFlight()) {
         throw HornbeamusherException.notRun(FailureType.QUEUE_FULL, "this entry")
             .retryAfter(FULL_RETRY_MILLIS);
       }
@@ -131,7 +134,7 @@
     } catch (RuntimeException e) {
       writeFailure(exchange, sink, id, HornbeamusherException.from(e));
     } finally {
-      host.requests(-1);
+      host.adjustInFlight(-1);
     }
   }
 
@@ -141,7 +144,7 @@
         e instanceof Receiver.RequestToLargeException || e instanceof RequestTooBigException
             ? HornbeamusherException.notRun(FailureType.BODY_TOO_LARGE, bodyBytes)
             : HornbeamusherException.notRun(FailureType.SLOW_CALLER).causedBy(e);
-    writeFailure(exchange, new CallerSink(exchange, stalledMillis), id, failure);
+    writeFailure(exchange, new CallerSink(exchange, writeTimeoutMillis), id, failure);
   }
 
   private void route(HttpServerExchange exchange, byte[] body, RequestId id, CallerSink sink)
@@ -151,18 +154,18 @@
     String path = exchange.getRequestPath();
     if (path.equals(COMPLETIONS) || path.equals(CHAT)) {
       requireMethod(exchange, "POST");
-      completion(exchange, caller, ModelRequest.parse(body, path.equals(CHAT)), id, sink);
+      serveCompletion(exchange, caller, ModelRequest.parse(body, path.equals(CHAT)), id, sink);
     } else if (path.equals(MODELS)) {
       requireMethod(exchange, "GET");
       listModels(exchange, caller, sink);
     } else if (path.startsWith(SERVICES)) {
-      plain(exchange, caller, body, id, sink);
+      servePlainService(exchange, caller, body, id, sink);
     } else {
       throw HornbeamusherException.notRun(FailureType.UNKNOWN_PATH, path);
     }
   }
 
-  private void completion(
+  private void serveCompletion(
       HttpServerExchange exchange,
       Identity.Caller caller,
       ModelRequest request,
@@ -170,7 +173,7 @@
       CallerSink sink)
       throws InterruptedException {
     ServiceName service = ModelName.service(request.model());
-    ServiceDocument document = document(caller, service, request.model());
+    ServiceDocument document = requireDocument(caller, service, request.model());
     AdapterRef adapter = ModelName.resolve(request.model(), document);
     if (request.maxTokens() > document.limits().maximumTokens()) {
       throw HornbeamusherException.notRun(
@@ -190,15 +193,15 @@
             request.costTokens(),
             request.maxTokens(),
             deadline(exchange, document),
-            onceKey(exchange, false));
-    AnswerWriter writer =
+            idempotencyKey(exchange, false));
+    ResponseWriter writer =
         request.stream()
-            ? new StreamedAnswerWriter(exchange, sink, id.value(), request.chat())
-            : new WholeAnswerWriter(exchange, sink, id.value(), request.chat());
-    runner.run(admitted, writer).ifPresent(failure -> host.refused(service, failure));
+            ? new StreamedResponseWriter(exchange, sink, id.value(), request.chat())
+            : new BufferedResponseWriter(exchange, sink, id.value(), request.chat());
+    runner.run(admitted, writer).ifPresent(failure -> host.requestFailed(service, failure));
   }
 
-  private void plain(
+  private void servePlainService(
       HttpServerExchange exchange,
       Identity.Caller caller,
       byte[] body,
@@ -210,12 +213,12 @@
     String name = slash < 0 ? rest : rest.substring(0, slash);
     String path = slash < 0 ? "/" : rest.substring(slash);
     ServiceName service = ModelName.service(name + "/");
-    ServiceDocument document = document(caller, service, name);
+    ServiceDocument document = requireDocument(caller, service, name);
     if (!(document.kind() instanceof ServiceDocument.Kind.Plain kind)) {
       throw HornbeamusherException.notRun(FailureType.UNKNOWN_PATH, exchange.getRequestPath());
     }
     String method = exchange.getRequestMethod().toString();
-    boolean once =
+    boolean nonRepeatable =
         kind.nonRepeatable().stream()
             .anyMatch(call -> call.method().equals(method) && path.startsWith(call.pathPrefix()));
     String query = exchange.getQueryString();
@@ -231,19 +234,19 @@
             new AdmittedRequest.EndpointCall(method, target, contentType, body),
             Fingerprint.of(service.value(), method + " " + target, body, Map.of()),
             0,
-            PLAIN_COST_TOKENS,
+            PLAIN_REQUEST_COST_TOKENS,
             0,
             deadline(exchange, document),
-            onceKey(exchange, once));
-    PlainAnswerWriter writer = new PlainAnswerWriter(exchange, sink, id.value());
-    runner.run(admitted, writer).ifPresent(failure -> host.refused(service, failure));
+            idempotencyKey(exchange, nonRepeatable));
+    PlainResponseWriter writer = new PlainResponseWriter(exchange, sink, id.value());
+    runner.run(admitted, writer).ifPresent(failure -> host.requestFailed(service, failure));
   }
 
   private void listModels(HttpServerExchange exchange, Identity.Caller caller, CallerSink sink) {
     ObjectNode list = JSON.createObjectNode();
     list.put("object", "list");
     ArrayNode data = list.putArray("data");
-    for (ServiceDocument document : host.documents()) {
+    for (ServiceDocument document : host.currentDocuments()) {
       if (caller.mayCall(document.service(), document.partner())
           && document.kind() instanceof ServiceDocument.Kind.Model model) {
         model.adapters().entrySet().stream()
@@ -269,10 +272,11 @@
     sink.end();
   }
 
-  /** A service of another partner looks like one that does not exist. */
-  private ServiceDocument document(Identity.Caller caller, ServiceName service, String named) {
+  /** Returns the service's document; a service of another partner is reported as unknown. */
+  private ServiceDocument requireDocument(
+      Identity.Caller caller, ServiceName service, String named) {
     ServiceDocument document =
-        host.document(service)
+        host.currentDocument(service)
             .filter(found -> found.partner().equals(caller.partner()))
             .orElseThrow(() -> HornbeamusherException.notRun(FailureType.UNKNOWN_MODEL, named));
     if (!caller.mayCall(service, document.partner())) {
@@ -303,13 +307,13 @@
     throw invalid(CallerHeaders.DEADLINE.toString(), "it must be positive");
   }
 
-  private static Optional<IdempotencyKey> onceKey(
-      HttpServerExchange exchange, boolean declaredOnce) {
+  private static Optional<IdempotencyKey> idempotencyKey(
+      HttpServerExchange exchange, boolean declaredNonRepeatable) {
     String repeatable = exchange.getRequestHeaders().getFirst(CallerHeaders.REPEATABLE);
     if (repeatable != null && !repeatable.equals("true") && !repeatable.equals("false")) {
       throw invalid(CallerHeaders.REPEATABLE.toString(), "it must be true or false");
     }
-    if (!declaredOnce && !"false".equals(repeatable)) {
+    if (!declaredNonRepeatable && !"false".equals(repeatable)) {
       return Optional.empty();
     }
     String key = exchange.getRequestHeaders().getFirst(CallerHeaders.IDEMPOTENCY_KEY);
@@ -354,8 +358,8 @@
       sink.abort();
       return;
     }
-    FailureReply.head(exchange, failure);
-    byte[] body = FailureReply.body(failure, id.value());
+    FailureResponse.head(exchange, failure);
+    byte[] body = FailureResponse.body(failure, id.value());
     exchange.setResponseContentLength(body.length);
     try {
       sink.write(body);
--- a/runtime/src/main/java/org/hornbeamusher/entry/CallerHeaders.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/CallerHeaders.java
@@ -2,13 +2,13 @@
 
 import io.undertow.util.HttpString;
 
-/** The headers of the callers' interface. */
+/** HTTP headers of the callers' API. */
 final class CallerHeaders {
 
-  /** How long the answer is of use, in milliseconds from now. */
+  /** Deadline of the request, in milliseconds from its arrival. */
   static final HttpString DEADLINE = new HttpString("X-Deadline-Ms");
 
-  /** The caller's key for a request that must run at most once. */
+  /** The caller's idempotency key for a request that must run at most once. */
   static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
 
   /** {@code false} marks a request that must run at most once. */
@@ -19,7 +19,7 @@
   static final HttpString ENDPOINT = new HttpString("X-Endpoint");
   static final HttpString LOAD_STALL = new HttpString("X-Load-Stall-Ms");
 
-  /** Marks an answer that an earlier send of the same request got. */
+  /** Marks the stored response of an earlier send of the same request. */
   static final HttpString REPLAYED = new HttpString("X-Replayed");
 
   private CallerHeaders() {}
--- a/runtime/src/main/java/org/hornbeamusher/entry/CallerSink.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/CallerSink.java
@@ -15,27 +15,27 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Writes an answer to its caller from the request's virtual thread.
+ * Writes a response to its caller from the request's virtual thread.
  *
- * <p>Undertow's blocking streams wait in a selector, which holds a platform thread for each caller
- * that reads slowly. Here the thread waits for the channel's listener instead, and a caller that
- * takes nothing for a while is given up.
+ * <p>Undertow's blocking streams wait in a selector, which blocks a platform thread for each slow
+ * reader. Here the virtual thread waits for the channel's listener instead, and the connection of a
+ * caller that reads nothing within the write timeout is closed.
  */
 final class CallerSink {
 
   private final HttpServerExchange exchange;
-  private final long stalledMillis;
+  private final long writeTimeoutMillis;
   private StreamSinkChannel channel;
 
-  /** Set once the connection is closed, by whichever end. */
+  /** Set once the connection is closed by either side. */
   private volatile boolean closed;
 
-  /** Completed when the channel takes bytes again, or the connection is closed. */
+  /** Completed when the channel is writable again or the connection is closed. */
   private volatile CompletableFuture<Void> writable = new CompletableFuture<>();
 
-  CallerSink(HttpServerExchange exchange, long stalledMillis) {
+  CallerSink(HttpServerExchange exchange, long writeTimeoutMillis) {
     this.exchange = exchange;
-    this.stalledMillis = stalledMillis;
+    this.writeTimeoutMillis = writeTimeoutMillis;
   }
 
   /** Writes bytes and returns once they are handed to the network. */
@@ -50,11 +50,11 @@
       }
       flush();
     } catch (IOException e) {
-      throw gone(e);
+      throw callerGone(e);
     }
   }
 
-  /** Ends the answer properly. */
+  /** Completes the response. */
   void end() {
     try {
       open();
@@ -62,11 +62,11 @@
       flush();
       exchange.endExchange();
     } catch (IOException e) {
-      throw gone(e);
+      throw callerGone(e);
     }
   }
 
-  /** Closes the connection, so that a part of an answer cannot pass for the whole. */
+  /** Closes the connection, so that a truncated response cannot be mistaken for a complete one. */
   void abort() {
     IoUtils.safeClose(exchange.getConnection());
   }
@@ -79,8 +79,9 @@
   }
 
   /**
-   * A channel whose connection broke calls no write listener any more. Without this the request
-   * would wait out the whole stall limit and its endpoint would generate for nobody meanwhile.
+   * Wakes a waiting write. A channel no longer calls its write listener once its connection is
+   * lost; without this the request would wait for the full write timeout, and its endpoint would
+   * meanwhile generate a response that nobody reads.
    */
   private void connectionClosed() {
     closed = true;
@@ -96,7 +97,7 @@
   private void awaitWritable() {
     writable = new CompletableFuture<>();
     if (closed) {
-      throw gone(new ClosedChannelException());
+      throw callerGone(new ClosedChannelException());
     }
     channel
         .getWriteSetter()
@@ -107,22 +108,22 @@
             });
     channel.resumeWrites();
     try {
-      writable.get(stalledMillis, TimeUnit.MILLISECONDS);
+      writable.get(writeTimeoutMillis, TimeUnit.MILLISECONDS);
       if (closed) {
-        throw gone(new ClosedChannelException());
+        throw callerGone(new ClosedChannelException());
       }
     } catch (TimeoutException e) {
       abort();
       throw HornbeamusherException.of(FailureType.SLOW_CALLER, Outcome.UNKNOWN).causedBy(e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw gone(e);
+      throw callerGone(e);
     } catch (ExecutionException e) {
-      throw gone(e);
+      throw callerGone(e);
     }
   }
 
-  private HornbeamusherException gone(Exception e) {
+  private HornbeamusherException callerGone(Exception e) {
     abort();
     return HornbeamusherException.of(FailureType.CALLER_GONE, Outcome.UNKNOWN).causedBy(e);
   }
--- a/runtime/src/main/java/org/hornbeamusher/entry/ClaimedRun.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/ClaimedRun.java
@@ -15,20 +15,24 @@
 /**
  * Runs a request that must run at most once under its claim.
  *
- * <p>The claim is won before anything is sent, and its end is written before the caller is told of
- * a failure: a caller that is told {@code not-run} may send again at once and must then find the
- * row open. The end of a good answer is written after the answer, which the caller has waited for
- * long enough; a caller that asks again in between is told that the request is running.
+ * <p>The claim is acquired before anything is sent. After a failure, its outcome is stored before
+ * the caller receives the failure: a caller that receives {@code not-run} may retry at once and
+ * must then be able to claim again. After a success, the outcome is stored after the response is
+ * written, so that the caller does not wait for the table; a retry in between is refused because
+ * the request is still in progress.
  */
 final class ClaimedRun {
 
-  /** How long a failure's answer waits for its claim's end; the keeper tries on in any case. */
-  private static final long END_WAIT_MILLIS = 1_000;
+  /**
+   * How long a failure response waits until the claim's outcome is stored; {@link ClaimKeeper}
+   * continues to retry the write in any case.
+   */
+  private static final long FINISH_TIMEOUT_MILLIS = 1_000;
 
-  /** What runs under the claim. */
+  /** The work that runs under the claim. */
   interface Attempts {
 
-    /** Runs the request's attempts and writes the answer. */
+    /** Runs the request's attempts and writes the response. */
     void run() throws InterruptedException;
   }
 
@@ -40,7 +44,7 @@
     this.clock = clock;
   }
 
-  void run(AdmittedRequest request, IdempotencyKey key, AnswerWriter writer, Attempts attempts)
+  void run(AdmittedRequest request, IdempotencyKey key, ResponseWriter writer, Attempts attempts)
       throws InterruptedException {
     ClaimResult result =
         claims
@@ -55,31 +59,32 @@
       throw failure.get();
     }
     switch (result) {
-      case ClaimResult.Won won -> runWon(won.claim(), writer, attempts);
+      case ClaimResult.Won won -> runAcquired(won.claim(), writer, attempts);
       case ClaimResult.Ran ran -> ran.answer().ifPresent(writer::replay);
       default -> throw HornbeamusherException.of(FailureType.INTERNAL, Outcome.UNKNOWN, result);
     }
   }
 
-  private void runWon(Claim claim, AnswerWriter writer, Attempts attempts)
+  private void runAcquired(Claim claim, ResponseWriter writer, Attempts attempts)
       throws InterruptedException {
     try {
       if (!claim.mayDispatch(clock.millis())) {
         throw HornbeamusherException.notRun(FailureType.DEADLINE_PASSED);
       }
-      writer.keep(StoredAnswer.MAXIMUM_LENGTH);
+      writer.keepCopy(StoredAnswer.MAXIMUM_LENGTH);
       attempts.run();
     } catch (HornbeamusherException failed) {
       claims
           .finish(claim, failed.outcome(), Optional.empty())
-          .completeOnTimeout(false, END_WAIT_MILLIS, TimeUnit.MILLISECONDS)
+          .completeOnTimeout(false, FINISH_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
           .join();
       throw failed;
     } catch (RuntimeException unexpected) {
-      // Without an end the claim would read as in progress until its expiry, and its caller wait.
+      // Without a stored outcome the claim would stay in progress until its expiry, and retries of
+      // its caller would be refused until then.
       claims.finish(claim, Outcome.UNKNOWN, Optional.empty());
       throw unexpected;
     }
-    claims.finish(claim, Outcome.RAN, writer.kept());
+    claims.finish(claim, Outcome.RAN, writer.keptCopy());
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/entry/EarlierAttempts.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/EarlierAttempts.java
@@ -5,22 +5,22 @@
 import org.hornbeamusher.failure.Outcome;
 
 /**
- * What the attempts so far mean for the final answer to a request.
+ * Tracks whether an earlier attempt may have run, and corrects the outcome of the final failure.
  *
- * <p>An attempt that broke off may have run. When nothing can take the repeat, the refusal of the
- * repeat is true of the repeat alone; passed on as it is, the caller would read that its request
- * did not run.
+ * <p>An attempt that was interrupted may have run. If no endpoint can take the retry, the refusal
+ * ({@code not-run}) holds for the retry alone; passed on unchanged, it would tell the caller that
+ * the request did not run.
  */
 final class EarlierAttempts {
 
   private boolean mayHaveRun;
 
-  /** Takes in how an attempt ended. */
+  /** Records the outcome of a failed attempt. */
   void failed(Outcome outcome) {
     mayHaveRun |= !outcome.equals(Outcome.NOT_RUN);
   }
 
-  /** Returns the failure that holds for the whole request. */
+  /** Returns the failure to report for the request as a whole. */
   HornbeamusherException withOutcome(HornbeamusherException last) {
     if (!mayHaveRun || !last.outcome().equals(Outcome.NOT_RUN)) {
       return last;
--- a/runtime/src/main/java/org/hornbeamusher/entry/EntryDaemon.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/EntryDaemon.java
@@ -46,16 +46,19 @@
 import org.hornbeamusher.wire.WireConnection;
 import org.hornbeamusher.wire.WireSockets;
 
-/** An entry: the process that callers reach. */
+/** The entry process: serves callers and sends their requests to agents. */
 public final class EntryDaemon {
 
-  /** Oldest and newest protocol between processes that this version speaks. */
+  /** Oldest and newest version of the protocol between processes that this version supports. */
   public static final int PROTOCOL = 1;
 
-  private static final long INSTANCES_MILLIS = 1_000;
+  private static final long INSTANCE_POLL_MILLIS = 1_000;
 
-  /** How long the list may lack entries that are there, after an outage of its own. */
-  private static final long COUNTED_MILLIS = 30_000;
+  /**
+   * Window of the entry counts, whose maximum is used: after an outage of the instance list, the
+   * list may lack running entries for this long.
+   */
+  private static final long ENTRY_COUNT_WINDOW_MILLIS = 30_000;
 
   private static final long STOP_POLL_MILLIS = 20;
 
@@ -72,28 +75,28 @@
           Thread.ofPlatform().daemon().name("entry-timer").factory());
   private final AtomicInteger inFlight = new AtomicInteger();
 
-  /** Entries in the newest list, at least this one; they share the polling of the table. */
-  private final AtomicInteger entries = new AtomicInteger(1);
+  /** Recent maximum of the listed entries, at least 1; they share the polling of the table. */
+  private final AtomicInteger entryCount = new AtomicInteger(1);
 
-  private final PeerCount allEntries = new PeerCount(COUNTED_MILLIS);
-  private final PeerCount sharingEntries = new PeerCount(COUNTED_MILLIS);
+  private final PeerCount allEntries = new PeerCount(ENTRY_COUNT_WINDOW_MILLIS);
+  private final PeerCount sharingEntries = new PeerCount(ENTRY_COUNT_WINDOW_MILLIS);
 
   private volatile boolean leaving;
-  private final QuarantineLog quarantined = new QuarantineLog();
-  private final CountDownLatch leaveOrdered = new CountDownLatch(1);
+  private final QuarantineRefusals quarantineRefusals = new QuarantineRefusals();
+  private final CountDownLatch drainOrdered = new CountDownLatch(1);
   private HttpListener listener;
 
   /**
    * Creates an entry that is not started.
    *
    * @param settings its settings
-   * @param sockets plain or TLS, towards agents
+   * @param sockets plain or TLS sockets to agents
    * @param clock the clock
    */
   public EntryDaemon(EntrySettings settings, WireSockets sockets, Clock clock) {
     this.settings = settings;
     this.clock = clock;
-    this.services = new ProcessServices(settings.platform(), entries::get, clock);
+    this.services = new ProcessServices(settings.platform(), entryCount::get, clock);
     this.claims =
         new ClaimKeeper(
             services.table(),
@@ -105,7 +108,7 @@
             services.table(),
             ClaimSettings.STANDARD,
             clock,
-            entries::get,
+            entryCount::get,
             RandomGenerator.getDefault());
     this.decisions =
         new EntryDecisions(
@@ -118,7 +121,7 @@
             clock,
             decisions,
             services.exchange(),
-            this::heard);
+            this::messageReceived);
   }
 
   private static Message.Hello hello(EntrySettings settings) {
@@ -137,10 +140,11 @@
   public void start() {
     services.start();
     services.processMetrics().gauge(ProcessMetric.IN_FLIGHT, inFlight::get);
-    services.processMetrics().gauge(ProcessMetric.PEERS, links::connections);
+    services.processMetrics().gauge(ProcessMetric.PEERS, links::connectionCount);
     claims.start();
     cleaner.start();
-    timer.scheduleWithFixedDelay(this::followInstances, 0, INSTANCES_MILLIS, TimeUnit.MILLISECONDS);
+    timer.scheduleWithFixedDelay(
+        this::pollInstances, 0, INSTANCE_POLL_MILLIS, TimeUnit.MILLISECONDS);
     listener =
         new HttpListener(
             settings.http(),
@@ -154,23 +158,23 @@
         EventType.PROCESS_STARTED, "role", "entry", "instance", settings.instance(), "at", uri());
   }
 
-  /** Takes no new requests; what is in flight goes on. */
+  /** Starts a drain: refuses new requests, while those in flight continue. */
   public void drain() {
     leaving = true;
-    leaveOrdered.countDown();
+    drainOrdered.countDown();
   }
 
   /**
-   * Waits until an operator makes the process leave.
+   * Waits until a drain is ordered.
    *
    * @throws InterruptedException when waiting is interrupted
    */
   public void awaitLeaving() throws InterruptedException {
-    leaveOrdered.await();
+    drainOrdered.await();
   }
 
   /**
-   * Takes no new requests, finishes those in flight and ends.
+   * Drains and stops: refuses new requests, waits for those in flight and stops all services.
    *
    * @throws InterruptedException when waiting for them is interrupted
    */
@@ -192,27 +196,27 @@
   }
 
   /**
-   * Returns where callers reach this entry.
+   * Returns the address at which callers reach this entry.
    *
-   * @return its address
+   * @return scheme, host and port
    */
   public URI uri() {
     return listener.uri();
   }
 
   /**
-   * Returns how many endpoints get work from this entry now.
+   * Returns how many endpoints this entry currently sends requests to.
    *
-   * @return those that are connected, reachable and not leaving
+   * @return the number of endpoints that are connected, reachable and not leaving
    */
   public int routedEndpoints() {
-    return links.routed();
+    return links.routedCount();
   }
 
   /**
    * Returns how many requests are in flight.
    *
-   * @return requests whose answer is not written
+   * @return the number of requests whose response is not yet written
    */
   public int inFlight() {
     return inFlight.get();
@@ -238,19 +242,25 @@
     OperatorApi operators =
         new OperatorApi(
             new EntryOperations(
-                settings, services, links, quarantined, inFlight::get, () -> leaving, this::drain),
+                settings,
+                services,
+                links,
+                quarantineRefusals,
+                inFlight::get,
+                () -> leaving,
+                this::drain),
             settings.tokens(),
             new MetricsReport(services.metrics()));
     return operators.mount(new PathHandler(callers));
   }
 
-  private void followInstances() {
+  private void pollInstances() {
     services
         .instances()
         .whenComplete(
             (instances, thrown) -> {
               if (thrown == null) {
-                listed(instances);
+                instancesReceived(instances);
               } else {
                 EventLog.log(
                     EventType.PLATFORM_OUTAGE,
@@ -262,18 +272,18 @@
             });
   }
 
-  private synchronized void listed(List<Instance> instances) {
+  private synchronized void instancesReceived(List<Instance> instances) {
     long now = clock.millis();
     long listed = instances.stream().filter(i -> i.role() == Instance.Role.ENTRY).count();
     allEntries.counted((int) Math.max(1, listed), now);
-    sharingEntries.counted(sharing(instances), now);
-    entries.set(allEntries.most().orElse(1));
-    decisions.entryCount(sharingEntries.most().orElse(1));
-    links.follow(instances.stream().filter(i -> i.role() == Instance.Role.AGENT).toList());
+    sharingEntries.counted(countSharingEntries(instances), now);
+    entryCount.set(allEntries.most().orElse(1));
+    decisions.setEntryCount(sharingEntries.most().orElse(1));
+    links.updateFromList(instances.stream().filter(i -> i.role() == Instance.Role.AGENT).toList());
   }
 
-  /** Counts the entries that share this one's traffic: those of the same pool of entries. */
-  private int sharing(List<Instance> instances) {
+  /** Counts the entries that share this entry's traffic: those in the same pool of entries. */
+  private int countSharingEntries(List<Instance> instances) {
     Optional<PoolName> own =
         instances.stream()
             .filter(instance -> instance.id().equals(settings.instance().value()))
@@ -287,16 +297,16 @@
     return (int) Math.max(1, sharing);
   }
 
-  private void heard(WireConnection connection, Message message) {
+  private void messageReceived(WireConnection connection, Message message) {
     if (message instanceof Message.CrashNotice notice) {
-      decisions.crashObserved(notice.fingerprint(), notice.crashes());
+      decisions.mergeCrashCount(notice.fingerprint(), notice.crashes());
     }
   }
 
   /**
-   * Returns what this process has in common with others.
+   * Returns the services that every process of the system has.
    *
-   * @return its services
+   * @return the services of this process
    */
   public ProcessServices services() {
     return services;
@@ -310,20 +320,20 @@
     }
 
     @Override
-    public void answered(ServiceName service, AttemptResult.Answered answer) {
+    public void requestCompleted(ServiceName service, AttemptResult.Answered result) {
       services
           .metrics()
           .answered(
-              service, answer.loadStallMillis(), answer.firstTokenMillis(), answer.totalMillis());
+              service, result.loadStallMillis(), result.firstTokenMillis(), result.totalMillis());
     }
 
     @Override
-    public void quarantined(ServiceName service, long fingerprint, long untilMillis) {
-      quarantined.refused(service, fingerprint, untilMillis);
+    public void requestQuarantined(ServiceName service, long fingerprint, long untilMillis) {
+      quarantineRefusals.record(service, fingerprint, untilMillis);
     }
 
     @Override
-    public void crashed(long fingerprint, int crashes) {
+    public void broadcastCrash(long fingerprint, int crashes) {
       links.broadcast(new Message.CrashNotice(fingerprint, crashes));
     }
   }
@@ -331,12 +341,12 @@
   private final class ApiHost implements CallerApi.Host {
 
     @Override
-    public Optional<ServiceDocument> document(ServiceName service) {
+    public Optional<ServiceDocument> currentDocument(ServiceName service) {
       return services.documents().current(service);
     }
 
     @Override
-    public Iterable<ServiceDocument> documents() {
+    public Iterable<ServiceDocument> currentDocuments() {
       return services.documents().all();
     }
 
@@ -346,17 +356,17 @@
     }
 
     @Override
-    public int requests(int change) {
+    public int adjustInFlight(int change) {
       return inFlight.addAndGet(change);
     }
 
     @Override
-    public int mostRequests() {
+    public int maxInFlight() {
       return settings.limits().inFlight();
     }
 
     @Override
-    public void refused(ServiceName service, HornbeamusherException failure) {
+    public void requestFailed(ServiceName service, HornbeamusherException failure) {
       services.metrics().refused(service, failure.type());
       EventLog.log(
           EventType.REQUEST_REFUSED,
--- a/runtime/src/main/java/org/hornbeamusher/entry/EntryDecisions.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/EntryDecisions.java
@@ -27,21 +27,21 @@
 import org.hornbeamusher.routing.Router;
 
 /**
- * The decisions of one entry behind one lock. Each takes microseconds, so that one lock for all is
- * cheaper than telling apart which of them share state.
+ * Guards the decision objects of one entry by a single lock. Each decision takes microseconds, so a
+ * single lock costs less than separate locks for the parts that share state.
  */
 final class EntryDecisions {
 
-  /** Weight of the newest answer in the moving average of a pool's token interval. */
-  private static final double PACE_GAIN = 0.05;
+  /** Weight of the latest response in the moving average of a pool's token interval. */
+  private static final double TOKEN_INTERVAL_GAIN = 0.05;
 
   private final Router router;
   private final Map<PartnerId, Integer> partnerShares;
 
-  /** One policy for each pool: a full pool says nothing about the others. */
+  /** One policy for each pool: a full pool must not restrict admission to the others. */
   private final Map<PoolName, AdmissionPolicy> admissions = new HashMap<>();
 
-  private int entries = 1;
+  private int entryCount = 1;
   private final RetryPolicy retries;
   private final Quarantine quarantine;
   private final Clock clock;
@@ -60,15 +60,15 @@
     this.clock = clock;
   }
 
-  synchronized void joined(EndpointId id, AvailabilityZone zone, PoolName pool) {
+  synchronized void endpointJoined(EndpointId id, AvailabilityZone zone, PoolName pool) {
     router.endpointJoined(id, zone, pool, clock.millis());
   }
 
-  synchronized void left(EndpointId id) {
+  synchronized void endpointLeft(EndpointId id) {
     router.endpointLeft(id, clock.millis());
   }
 
-  synchronized void reported(EndpointId id, EndpointLoad load) {
+  synchronized void loadReported(EndpointId id, EndpointLoad load) {
     router.loadReported(id, load, clock.millis());
   }
 
@@ -76,7 +76,7 @@
     return router.route(request, clock.millis());
   }
 
-  /** Chooses an endpoint and counts the attempt there in one step. */
+  /** Chooses an endpoint and counts the attempt there, atomically. */
   synchronized RouteDecision routeAndStart(RouteRequest request) {
     RouteDecision decision = router.route(request, clock.millis());
     if (decision instanceof RouteDecision.SendTo sendTo) {
@@ -89,14 +89,14 @@
     router.attemptEnded(id, adapter, result, clock.millis());
   }
 
-  /** Takes in how many entries share the traffic. */
-  synchronized void entryCount(int count) {
-    entries = count;
+  /** Sets how many entries share the traffic. */
+  synchronized void setEntryCount(int count) {
+    entryCount = count;
     router.entryCount(count);
   }
 
   synchronized AdmissionDecision admit(PoolName pool, AdmissionRequest request) {
-    long limit = AdmissionSettings.limit(router.places(pool), entries);
+    long limit = AdmissionSettings.limit(router.places(pool), entryCount);
     AdmissionPolicy admission =
         admissions.computeIfAbsent(
             pool, key -> new AdmissionPolicy(AdmissionSettings.of(limit, partnerShares)));
@@ -104,18 +104,18 @@
     return admission.admit(request, clock.millis());
   }
 
-  synchronized void finished(PoolName pool, AdmissionRequest request, boolean answered) {
-    admissions.get(pool).finished(request, answered, clock.millis());
-    if (answered) {
+  synchronized void requestFinished(PoolName pool, AdmissionRequest request, boolean succeeded) {
+    admissions.get(pool).finished(request, succeeded, clock.millis());
+    if (succeeded) {
       retries.succeeded(clock.millis());
     }
   }
 
-  synchronized RetryDecision decide(AttemptFailure failure) {
+  synchronized RetryDecision decideRetry(AttemptFailure failure) {
     return retries.decide(failure, clock.millis());
   }
 
-  synchronized QuarantineDecision check(long fingerprint) {
+  synchronized QuarantineDecision checkQuarantine(long fingerprint) {
     return quarantine.check(fingerprint, clock.millis());
   }
 
@@ -127,8 +127,8 @@
     return Set.copyOf(quarantine.endpointsRunningSuspects());
   }
 
-  /** Takes in how fast an answer comes that is under way. */
-  synchronized void progress(EndpointId endpoint, long busyMillis, int tokens) {
+  /** Records the progress of a response that is being generated. */
+  synchronized void progressReported(EndpointId endpoint, long busyMillis, int tokens) {
     router.progress(endpoint, busyMillis, tokens, clock.millis());
   }
 
@@ -136,23 +136,24 @@
     quarantine.ended(fingerprint, clock.millis());
   }
 
-  synchronized int crashed(long fingerprint) {
+  synchronized int recordCrash(long fingerprint) {
     return quarantine.crashed(fingerprint, clock.millis());
   }
 
-  synchronized void crashObserved(long fingerprint, int crashes) {
+  synchronized void mergeCrashCount(long fingerprint, int crashes) {
     quarantine.observed(fingerprint, crashes, clock.millis());
   }
 
-  /** Returns the expected time between tokens of a pool; 0 until an answer was seen. */
+  /** Returns the expected time between tokens of a pool; 0 before the first response. */
   synchronized double millisPerToken(PoolName pool) {
     return millisPerToken.getOrDefault(pool, 0.0);
   }
 
-  synchronized void tokensSeen(PoolName pool, int tokens, long millis) {
+  synchronized void recordTokenInterval(PoolName pool, int tokens, long millis) {
     if (tokens > 1) {
-      double pace = (double) millis / (tokens - 1);
-      millisPerToken.merge(pool, pace, (old, seen) -> old + (seen - old) * PACE_GAIN);
+      double interval = (double) millis / (tokens - 1);
+      millisPerToken.merge(
+          pool, interval, (old, newest) -> old + (newest - old) * TOKEN_INTERVAL_GAIN);
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/entry/EntryOperations.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/EntryOperations.java
@@ -14,13 +14,13 @@
 import org.hornbeamusher.settings.EntrySettings;
 import org.hornbeamusher.status.ProcessStatus;
 
-/** What operators see and order at an entry. */
+/** Provides the status and the operations of an entry to operators. */
 final class EntryOperations implements OperatorHost {
 
   private final EntrySettings settings;
   private final ProcessServices services;
   private final AgentLinks links;
-  private final QuarantineLog quarantined;
+  private final QuarantineRefusals quarantineRefusals;
   private final IntSupplier inFlight;
   private final BooleanSupplier leaving;
   private final Runnable drain;
@@ -29,14 +29,14 @@
       EntrySettings settings,
       ProcessServices services,
       AgentLinks links,
-      QuarantineLog quarantined,
+      QuarantineRefusals quarantineRefusals,
       IntSupplier inFlight,
       BooleanSupplier leaving,
       Runnable drain) {
     this.settings = settings;
     this.services = services;
     this.links = links;
-    this.quarantined = quarantined;
+    this.quarantineRefusals = quarantineRefusals;
     this.inFlight = inFlight;
     this.leaving = leaving;
     this.drain = drain;
@@ -62,7 +62,7 @@
         inFlight.getAsInt(),
         links.status(),
         serviceStatus(),
-        quarantined.status(services.clock().millis()));
+        quarantineRefusals.status(services.clock().millis()));
   }
 
   private List<ProcessStatus.Service> serviceStatus() {
--- a/runtime/src/main/java/org/hornbeamusher/entry/FailureReply.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/FailureResponse.java
@@ -7,13 +7,13 @@
 import java.nio.charset.StandardCharsets;
 import org.hornbeamusher.failure.HornbeamusherException;
 
-/** The form in which a caller is told of a failure. */
-final class FailureReply {
+/** Formats a failure as an HTTP response to a caller. */
+final class FailureResponse {
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final long MILLIS_PER_SECOND = 1_000;
 
-  private FailureReply() {}
+  private FailureResponse() {}
 
   /** Returns {@code {"error":{...}}}. */
   static byte[] body(HornbeamusherException failure, String requestId) {
@@ -38,7 +38,10 @@
             millis -> exchange.getResponseHeaders().put(Headers.RETRY_AFTER, seconds(millis)));
   }
 
-  /** The header counts whole seconds; rounding down would call callers back too early. */
+  /**
+   * Rounds up to whole seconds, the unit of Retry-After; rounding down would let callers retry too
+   * early.
+   */
   private static long seconds(long millis) {
     return (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
   }
--- a/runtime/src/main/java/org/hornbeamusher/entry/HttpAnswerWriter.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/HttpResponseWriter.java
@@ -9,17 +9,19 @@
 import org.hornbeamusher.claims.StoredAnswer;
 import org.hornbeamusher.failure.HornbeamusherException;
 
-/** What the forms of an answer have in common: headers, failures and the sink. */
-abstract class HttpAnswerWriter implements AnswerWriter {
+/**
+ * Base class of the response writers: writes headers and failures, and keeps a copy of the body.
+ */
+abstract class HttpResponseWriter implements ResponseWriter {
 
   private final HttpServerExchange exchange;
   private final CallerSink sink;
   private final String requestId;
-  private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
-  private int keepLength;
+  private final ByteArrayOutputStream copy = new ByteArrayOutputStream();
+  private int maxCopyLength;
   private boolean delivered;
 
-  HttpAnswerWriter(HttpServerExchange exchange, CallerSink sink, String requestId) {
+  HttpResponseWriter(HttpServerExchange exchange, CallerSink sink, String requestId) {
     this.exchange = exchange;
     this.sink = sink;
     this.requestId = requestId;
@@ -29,7 +31,7 @@
     return requestId;
   }
 
-  final void head(AnswerHead head, int status, String contentType) {
+  final void writeHead(ResponseHead head, int status, String contentType) {
     exchange.setStatusCode(status);
     HeaderMap headers = exchange.getResponseHeaders();
     headers.put(Headers.CONTENT_TYPE, contentType);
@@ -46,45 +48,45 @@
 
   final void write(byte[] bytes) {
     delivered = true;
-    if (keepLength > 0) {
-      keepPart(bytes);
+    if (maxCopyLength > 0) {
+      copyPart(bytes);
     }
     sink.write(bytes);
   }
 
-  private void keepPart(byte[] bytes) {
-    if (kept.size() + bytes.length > keepLength) {
-      keepLength = 0;
-      kept.reset();
+  private void copyPart(byte[] bytes) {
+    if (copy.size() + bytes.length > maxCopyLength) {
+      maxCopyLength = 0;
+      copy.reset();
       return;
     }
-    kept.writeBytes(bytes);
+    copy.writeBytes(bytes);
   }
 
   @Override
-  public final void keep(int maximumLength) {
-    keepLength = maximumLength;
+  public final void keepCopy(int maximumLength) {
+    maxCopyLength = maximumLength;
   }
 
   @Override
-  public final Optional<StoredAnswer> kept() {
-    if (keepLength == 0) {
+  public final Optional<StoredAnswer> keptCopy() {
+    if (maxCopyLength == 0) {
       return Optional.empty();
     }
     String contentType = exchange.getResponseHeaders().getFirst(Headers.CONTENT_TYPE);
-    return Optional.of(new StoredAnswer(exchange.getStatusCode(), contentType, kept.toByteArray()));
+    return Optional.of(new StoredAnswer(exchange.getStatusCode(), contentType, copy.toByteArray()));
   }
 
   @Override
-  public final void replay(StoredAnswer answer) {
-    exchange.setStatusCode(answer.status());
-    exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, answer.contentType());
+  public final void replay(StoredAnswer response) {
+    exchange.setStatusCode(response.status());
+    exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, response.contentType());
     exchange.getResponseHeaders().put(CallerHeaders.REPLAYED, "true");
-    writeWhole(answer.body());
+    writeComplete(response.body());
   }
 
-  /** Announces the length, so that a caller can tell a whole answer from a cut one. */
-  final void writeWhole(byte[] bytes) {
+  /** Sets Content-Length, so that a caller can tell a complete response from a truncated one. */
+  final void writeComplete(byte[] bytes) {
     exchange.setResponseContentLength(bytes.length);
     write(bytes);
     finish();
@@ -95,24 +97,27 @@
   }
 
   @Override
-  public final boolean delivered() {
+  public final boolean hasDelivered() {
     return delivered;
   }
 
   @Override
   public final void fail(HornbeamusherException failure) {
     if (delivered) {
-      failDelivered(failure);
+      failAfterStart(failure);
       sink.abort();
       return;
     }
-    FailureReply.head(exchange, failure);
-    byte[] body = FailureReply.body(failure, requestId);
+    FailureResponse.head(exchange, failure);
+    byte[] body = FailureResponse.body(failure, requestId);
     exchange.setResponseContentLength(body.length);
     sink.write(body);
     sink.end();
   }
 
-  /** Says what it can in an answer that has begun; the connection is closed after it. */
-  abstract void failDelivered(HornbeamusherException failure);
+  /**
+   * Reports a failure within a response that has begun, if its format permits; the connection is
+   * closed afterwards.
+   */
+  abstract void failAfterStart(HornbeamusherException failure);
 }
--- a/runtime/src/main/java/org/hornbeamusher/entry/ModelName.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/ModelName.java
@@ -8,7 +8,7 @@
 import org.hornbeamusher.ids.InvalidIdentifierException;
 import org.hornbeamusher.ids.ServiceName;
 
-/** Finds the adapter and version that a caller's model name stands for. */
+/** Resolves a caller's model name to an adapter and a version. */
 final class ModelName {
 
   private ModelName() {}
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Returns the adapter; a name without a version stands for the document's current one. */
+  /** Returns the adapter; a name without a version means the current version in the document. */
   static AdapterRef resolve(String model, ServiceDocument document) {
     if (!(document.kind() instanceof ServiceDocument.Kind.Model kind)) {
       throw unknown(model);
--- a/runtime/src/main/java/org/hornbeamusher/entry/ModelRequest.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/ModelRequest.java
@@ -10,24 +10,24 @@
 import org.hornbeamusher.ids.AdapterRef;
 
 /**
- * A completion or chat completion as a caller asks for it.
+ * A caller's request for a completion or chat completion.
  *
  * @param model {@code service/adapter@version} or {@code service/adapter}
- * @param prompt the prompt; the messages of a chat, each behind its role
- * @param maxTokens most tokens of the answer
- * @param stream whether the answer is streamed
- * @param chat whether the answer has the form of a chat completion
- * @param body the request as it came
+ * @param prompt the prompt; for a chat its messages, each prefixed with its role
+ * @param maxTokens greatest number of tokens in the response
+ * @param stream whether the response is streamed
+ * @param chat whether the response is a chat completion
+ * @param body the request body as received
  */
 record ModelRequest(
     String model, String prompt, int maxTokens, boolean stream, boolean chat, ObjectNode body) {
 
-  /** What a request that names no length gets; the interface's customary figure is 16. */
+  /** The limit for a request that states none; 16 is the customary default of this API. */
   static final int DEFAULT_MAX_TOKENS = 16;
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** English text has about four characters a token. */
+  /** English text has about four characters per token. */
   private static final int CHARACTERS_PER_TOKEN = 4;
 
   static ModelRequest parse(byte[] bytes, boolean chat) {
@@ -46,12 +46,15 @@
     return new ModelRequest(model, prompt, tokens, stream.asBoolean(false), chat, body);
   }
 
-  /** Returns the work the request is expected to be: prompt and answer together. */
+  /** Returns the expected work in tokens: prompt and response together. */
   int costTokens() {
     return prompt.length() / CHARACTERS_PER_TOKEN + maxTokens;
   }
 
-  /** Returns the endpoint's request: always a streamed completion of the adapter by its version. */
+  /**
+   * Returns the body for the endpoint: always a streamed completion that names the adapter with its
+   * version.
+   */
   byte[] endpointBody(AdapterRef adapter) {
     ObjectNode forward = body.deepCopy();
     forward.remove("messages");
--- a/runtime/src/main/java/org/hornbeamusher/entry/RequestIds.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/RequestIds.java
@@ -5,7 +5,7 @@
 import org.hornbeamusher.ids.RequestId;
 import org.hornbeamusher.ids.TimeOrderedUuid;
 
-/** Makes request ids, which sort by the time they were made. */
+/** Generates request ids, which sort by their creation time. */
 final class RequestIds {
 
   private final SecureRandom random = new SecureRandom();
--- a/runtime/src/main/java/org/hornbeamusher/entry/RequestRunner.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/RequestRunner.java
@@ -26,54 +26,60 @@
 import org.hornbeamusher.wire.Message;
 
 /**
- * Runs one request from its admission to its one answer, on the request's own thread.
+ * Runs one request from its admission to its single response, on the request's own thread.
  *
- * <p>The order is the order of costs: what can refuse a request without telling anybody comes first
+ * <p>The steps are in order of cost: first those that can refuse a request without communication
  * (quarantine, routing, admission), then the claim of a request that must run at most once, then
- * the attempts. Every way out of {@link #run} writes exactly one answer: the endpoint's, or a
+ * the attempts. Every path through {@link #run} writes exactly one response: the endpoint's, or a
  * failure with its outcome.
  */
 final class RequestRunner {
 
-  /** What the runner needs of the entry. */
+  /** What the runner needs from the entry. */
   interface Host {
 
     /** Returns the open link to an endpoint's agent. */
     Optional<AgentLink> link(EndpointId endpoint);
 
-    /** Hears of a whole answer. */
-    void answered(ServiceName service, AttemptResult.Answered answer);
+    /** Called for each complete response. */
+    void requestCompleted(ServiceName service, AttemptResult.Answered result);
 
-    /** Hears of a request that is refused until a time, in milliseconds, because of crashes. */
-    void quarantined(ServiceName service, long fingerprint, long untilMillis);
+    /**
+     * Called for a request that is refused because of crashes until a time, in milliseconds since
+     * the epoch.
+     */
+    void requestQuarantined(ServiceName service, long fingerprint, long untilMillis);
 
-    /** Tells the other processes about a crash. */
-    void crashed(long fingerprint, int crashes);
+    /** Notifies the other processes of a crash. */
+    void broadcastCrash(long fingerprint, int crashes);
   }
 
-  /** When a caller may send a suspect again: the other run of it has then mostly ended. */
+  /** Retry-After for a suspect that is already running: by then that run has usually ended. */
   private static final long SUSPECT_RETRY_MILLIS = 2_000;
 
-  /** How long an answer waits for the table to take a crash; the notice goes out in any case. */
-  private static final long CRASH_RECORD_MILLIS = 1_000;
+  /**
+   * How long a response waits for the table to record a crash; the crash notice is sent in any
+   * case.
+   */
+  private static final long CRASH_RECORD_TIMEOUT_MILLIS = 1_000;
 
   private final EntryDecisions decisions;
   private final SuspectRows suspects;
   private final Host host;
-  private final ClaimedRun claimed;
+  private final ClaimedRun claimedRun;
   private final Clock clock;
 
   RequestRunner(
       EntryDecisions decisions, SuspectRows suspects, Host host, ClaimKeeper claims, Clock clock) {
     this.suspects = suspects;
-    this.claimed = new ClaimedRun(claims, clock);
+    this.claimedRun = new ClaimedRun(claims, clock);
     this.decisions = decisions;
     this.host = host;
     this.clock = clock;
   }
 
-  /** Runs a request and writes its answer. Returns the failure that was written, if any. */
-  Optional<HornbeamusherException> run(AdmittedRequest request, AnswerWriter writer)
+  /** Runs a request and writes its response. Returns the failure that was written, if any. */
+  Optional<HornbeamusherException> run(AdmittedRequest request, ResponseWriter writer)
       throws InterruptedException {
     AdmissionRequest admission;
     try {
@@ -82,26 +88,26 @@
       writer.fail(refused);
       return Optional.of(refused);
     }
-    boolean answered = false;
+    boolean succeeded = false;
     try {
-      runOnceOrMore(request, writer);
-      answered = true;
+      runClaimedIfRequired(request, writer);
+      succeeded = true;
       return Optional.empty();
     } catch (HornbeamusherException failed) {
       writer.fail(failed);
       return Optional.of(failed);
     } finally {
-      decisions.finished(request.document().pool(), admission, answered);
+      decisions.requestFinished(request.document().pool(), admission, succeeded);
     }
   }
 
   private AdmissionRequest admit(AdmittedRequest request) {
-    switch (decisions.check(request.fingerprint())) {
+    switch (decisions.checkQuarantine(request.fingerprint())) {
       case QuarantineDecision.Allow allow -> {}
       case QuarantineDecision.AllowAlone alone -> {}
       case QuarantineDecision.Refuse refuse -> {
         if (refuse.type() == FailureType.QUARANTINED) {
-          host.quarantined(
+          host.requestQuarantined(
               request.document().service(),
               request.fingerprint(),
               clock.millis() + refuse.retryAfterMillis());
@@ -115,7 +121,7 @@
           case RouteDecision.Refuse refuse -> throw refused(request, refuse);
         };
     double generating =
-        request.answerTokens() * decisions.millisPerToken(request.document().pool());
+        request.maxResponseTokens() * decisions.millisPerToken(request.document().pool());
     AdmissionRequest admission =
         new AdmissionRequest(
             request.document().partner(),
@@ -134,16 +140,17 @@
     };
   }
 
-  private void runOnceOrMore(AdmittedRequest request, AnswerWriter writer)
+  private void runClaimedIfRequired(AdmittedRequest request, ResponseWriter writer)
       throws InterruptedException {
-    if (request.onceKey().isEmpty()) {
+    if (request.idempotencyKey().isEmpty()) {
       runAttempts(request, writer);
       return;
     }
-    claimed.run(request, request.onceKey().get(), writer, () -> runAttempts(request, writer));
+    claimedRun.run(
+        request, request.idempotencyKey().get(), writer, () -> runAttempts(request, writer));
   }
 
-  private void runAttempts(AdmittedRequest request, AnswerWriter writer)
+  private void runAttempts(AdmittedRequest request, ResponseWriter writer)
       throws InterruptedException {
     EarlierAttempts earlier = new EarlierAttempts();
     try {
@@ -153,23 +160,23 @@
     }
   }
 
-  private void runAttempts(AdmittedRequest request, AnswerWriter writer, EarlierAttempts earlier)
+  private void runAttempts(AdmittedRequest request, ResponseWriter writer, EarlierAttempts earlier)
       throws InterruptedException {
     Set<EndpointId> excluded = new HashSet<>();
     int attempts = 0;
     int crashes = 0;
     while (true) {
       attempts++;
-      boolean alone = claimIfSuspect(request, excluded);
-      EndpointId endpoint = routeOrEnd(request, excluded, alone);
+      boolean isolated = claimIfSuspect(request, excluded);
+      EndpointId endpoint = routeOrReleaseSuspect(request, excluded, isolated);
       try {
         runAttempt(request, endpoint, writer);
-        endIfAlone(request, alone);
+        releaseIfIsolated(request, isolated);
         return;
       } catch (AttemptFailedException failed) {
         earlier.failed(failed.failure().outcome());
         if (!failed.crashed()) {
-          endIfAlone(request, alone);
+          releaseIfIsolated(request, isolated);
         } else {
           crashes = recordCrash(request.fingerprint());
         }
@@ -181,20 +188,21 @@
                 attempts,
                 crashes,
                 request.deadlineMillis() - clock.millis(),
-                writer.delivered());
-        backOff(failed.failure(), decisions.decide(failure));
+                writer.hasDelivered());
+        backOff(failed.failure(), decisions.decideRetry(failure));
         excluded.add(endpoint);
       }
     }
   }
 
   /**
-   * A request that was running when an endpoint crashed runs at most once at a time over all
-   * entries, and apart from other suspects: else the next crash would again have several suspects,
-   * and two entries that each allow it one more run would lose two more endpoints.
+   * Claims a suspect, a request that was running when an endpoint crashed, and returns whether the
+   * request is one. A suspect runs at most once at a time over all entries, and on no endpoint that
+   * runs another suspect: otherwise the next crash would again have several suspects, and two
+   * entries that each allow it one more run would lose two more endpoints.
    */
   private boolean claimIfSuspect(AdmittedRequest request, Set<EndpointId> excluded) {
-    switch (decisions.check(request.fingerprint())) {
+    switch (decisions.checkQuarantine(request.fingerprint())) {
       case QuarantineDecision.Allow allow -> {
         return false;
       }
@@ -212,42 +220,44 @@
     switch (suspects.begin(request.fingerprint(), request.deadlineMillis()).join()) {
       case SuspectClaim.Granted granted -> {}
       case SuspectClaim.Refused refused -> {
-        decisions.crashObserved(request.fingerprint(), refused.crashes());
+        decisions.mergeCrashCount(request.fingerprint(), refused.crashes());
         throw HornbeamusherException.notRun(refused.type()).retryAfter(SUSPECT_RETRY_MILLIS);
       }
     }
   }
 
   /**
-   * A suspect that no endpoint can take must not stay claimed, or it is barred until its deadline.
+   * Chooses an endpoint. If there is none, a suspect is released, because it would otherwise be
+   * refused until its deadline.
    */
-  private EndpointId routeOrEnd(AdmittedRequest request, Set<EndpointId> excluded, boolean alone) {
+  private EndpointId routeOrReleaseSuspect(
+      AdmittedRequest request, Set<EndpointId> excluded, boolean isolated) {
     try {
       return route(request, excluded);
     } catch (HornbeamusherException refused) {
-      endIfAlone(request, alone);
+      releaseIfIsolated(request, isolated);
       throw refused;
     }
   }
 
-  private void endIfAlone(AdmittedRequest request, boolean alone) {
-    if (alone) {
+  private void releaseIfIsolated(AdmittedRequest request, boolean isolated) {
+    if (isolated) {
       suspects.ended(request.fingerprint());
     }
   }
 
-  /** Counts a crash here, in the table and, by notices, at the other entries. */
+  /** Records a crash in this process, in the table and, by notices, at the other entries. */
   private int recordCrash(long fingerprint) {
-    int known = decisions.crashed(fingerprint);
+    int known = decisions.recordCrash(fingerprint);
     int recorded =
         suspects
             .crashed(fingerprint)
-            .completeOnTimeout(known, CRASH_RECORD_MILLIS, TimeUnit.MILLISECONDS)
+            .completeOnTimeout(known, CRASH_RECORD_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
             .exceptionally(thrown -> known)
             .join();
     int crashes = Math.max(known, recorded);
-    decisions.crashObserved(fingerprint, crashes);
-    host.crashed(fingerprint, crashes);
+    decisions.mergeCrashCount(fingerprint, crashes);
+    host.broadcastCrash(fingerprint, crashes);
     return crashes;
   }
 
@@ -291,7 +301,7 @@
         .retryAfter(refuse.retryAfterMillis());
   }
 
-  private void runAttempt(AdmittedRequest request, EndpointId endpoint, AnswerWriter writer)
+  private void runAttempt(AdmittedRequest request, EndpointId endpoint, ResponseWriter writer)
       throws InterruptedException, AttemptFailedException {
     AttemptResult result = new AttemptResult.Failed();
     decisions.fingerprintStarted(request.fingerprint(), endpoint);
@@ -300,10 +310,10 @@
           host.link(endpoint)
               .flatMap(link -> link.open(number -> dispatch(request, number)))
               .orElseThrow(() -> neverSent(endpoint));
-      AttemptResult.Answered answer =
-          new AttemptFollower(request, endpoint, call, writer, clock).follow(decisions);
-      host.answered(request.document().service(), answer);
-      result = answer;
+      AttemptResult.Answered completed =
+          new AttemptRunner(request, endpoint, call, writer, clock).run(decisions);
+      host.requestCompleted(request.document().service(), completed);
+      result = completed;
     } catch (AttemptFailedException failed) {
       result = failed.result();
       throw failed;
@@ -321,7 +331,7 @@
   }
 
   private Message.Dispatch dispatch(AdmittedRequest request, long number) {
-    AdmittedRequest.EndpointCall call = request.call();
+    AdmittedRequest.EndpointCall call = request.endpointCall();
     var document = request.document();
     return new Message.Dispatch(
         number,
@@ -342,11 +352,13 @@
         document.limits().share(),
         document.callerWeights().getOrDefault(request.caller(), 1),
         document.limits().queue(),
-        request.onceKey().map(Object::toString).orElse(""),
+        request.idempotencyKey().map(Object::toString).orElse(""),
         AttemptCall.INITIAL_CREDIT);
   }
 
-  /** Names the outcome of a request whose thread was interrupted, which nothing in use does. */
+  /**
+   * Returns the failure of a request whose thread was interrupted; no current code interrupts it.
+   */
   static HornbeamusherException interrupted() {
     return HornbeamusherException.of(FailureType.SHUTTING_DOWN, Outcome.UNKNOWN);
   }
--- a/runtime/src/main/java/org/hornbeamusher/entry/AnswerHead.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/ResponseHead.java
@@ -3,13 +3,13 @@
 import org.hornbeamusher.ids.EndpointId;
 
 /**
- * What is known when an answer begins.
+ * Metadata that is known when a response begins.
  *
- * @param endpoint where it runs
+ * @param endpoint the endpoint that runs the request
  * @param adapter {@code service/adapter@version}, empty for a plain service
- * @param loadStallMillis how long the request waited for a load
+ * @param loadStallMillis how long the request waited for an adapter load
  * @param status the endpoint's HTTP status
  * @param contentType the endpoint's content type
  */
-record AnswerHead(
+record ResponseHead(
     EndpointId endpoint, String adapter, long loadStallMillis, int status, String contentType) {}
--- a/runtime/src/main/java/org/hornbeamusher/entry/AnswerReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/ResponseReader.java
@@ -18,14 +18,15 @@
 import org.hornbeamusher.wire.Message;
 
 /**
- * Reads the chunks of one attempt and checks that they are the whole answer of the right adapter.
+ * Decodes the chunks of one attempt and checks that they form the complete response of the
+ * requested adapter.
  *
- * <p>Three things are checked, each against a different fault. {@link AnswerAssembler} checks what
- * may happen between the processes: frames lost, doubled, late or damaged. The engine's own end
- * mark must have come: else the engine's stream was cut and closed cleanly. Every event must name
- * the adapter and version that was asked for: else the engine ran another one.
+ * <p>There are three checks, each for a different fault. {@link AnswerAssembler} detects faults
+ * between the processes: lost, duplicated, late or corrupted frames. A missing end mark shows that
+ * the engine's stream was truncated although it was closed cleanly. An event that names another
+ * adapter or version than the requested one shows that the engine ran the wrong adapter.
  */
-final class AnswerReader {
+final class ResponseReader {
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String END_MARK = "[DONE]";
@@ -33,21 +34,21 @@
   private final EndpointId endpoint;
   private final Optional<AdapterRef> adapter;
   private final AnswerAssembler assembler;
-  private final ServerSentEvents events = new ServerSentEvents();
+  private final ServerSentEventParser events = new ServerSentEventParser();
   private boolean endMarkSeen;
   private String finishReason = "";
   private int promptTokens;
   private int completionTokens;
 
-  AnswerReader(EndpointId endpoint, Optional<AdapterRef> adapter, long attempt) {
+  ResponseReader(EndpointId endpoint, Optional<AdapterRef> adapter, long attempt) {
     this.endpoint = endpoint;
     this.adapter = adapter;
     this.assembler = new AnswerAssembler(attempt, AttemptCall.INITIAL_CREDIT);
   }
 
-  List<AnswerPart> read(Message.Chunk chunk) {
+  List<ResponsePart> read(Message.Chunk chunk) {
     Delivery delivery = assembler.part(chunk.attempt(), chunk.sequence(), chunk.bytes());
-    List<AnswerPart> parts = new ArrayList<>();
+    List<ResponsePart> parts = new ArrayList<>();
     for (byte[] bytes : delivery.parts()) {
       readPart(bytes, parts);
     }
@@ -58,22 +59,22 @@
     assembler.closing(closing.attempt(), closing.chunks(), closing.checksum());
   }
 
-  /** Returns the end once the answer is whole; empty while more frames may come. */
-  Optional<AnswerEnd> end() {
+  /** Returns the end metadata once the response is complete; empty while more frames may arrive. */
+  Optional<ResponseEnd> end() {
     return switch (assembler.state()) {
       case AnswerState.Open open -> Optional.empty();
-      case AnswerState.Whole whole when adapter.isEmpty() -> Optional.of(AnswerEnd.PLAIN);
+      case AnswerState.Whole whole when adapter.isEmpty() -> Optional.of(ResponseEnd.PLAIN);
       case AnswerState.Whole whole when endMarkSeen ->
-          Optional.of(new AnswerEnd(finishReason, promptTokens, completionTokens));
-      case AnswerState.Whole whole -> throw cut();
-      case AnswerState.Cut cut -> throw cut();
-      case AnswerState.Mismatch mismatch -> throw cut();
+          Optional.of(new ResponseEnd(finishReason, promptTokens, completionTokens));
+      case AnswerState.Whole whole -> throw truncated();
+      case AnswerState.Cut cut -> throw truncated();
+      case AnswerState.Mismatch mismatch -> throw truncated();
     };
   }
 
-  private void readPart(byte[] bytes, List<AnswerPart> parts) {
+  private void readPart(byte[] bytes, List<ResponsePart> parts) {
     if (adapter.isEmpty()) {
-      parts.add(new AnswerPart.Bytes(bytes));
+      parts.add(new ResponsePart.Bytes(bytes));
       return;
     }
     for (String data : events.feed(bytes)) {
@@ -81,7 +82,7 @@
     }
   }
 
-  private Optional<AnswerPart> readEvent(String data) {
+  private Optional<ResponsePart> readEvent(String data) {
     if (data.equals(END_MARK)) {
       endMarkSeen = true;
       return Optional.empty();
@@ -96,7 +97,7 @@
       completionTokens = event.path("usage").path("completion_tokens").asInt();
     }
     String text = choice.path("text").asText("");
-    return text.isEmpty() ? Optional.empty() : Optional.of(new AnswerPart.Token(text));
+    return text.isEmpty() ? Optional.empty() : Optional.of(new ResponsePart.Token(text));
   }
 
   private void checkAdapter(String ran) {
@@ -111,11 +112,11 @@
     try {
       return JSON.readTree(data);
     } catch (IOException e) {
-      throw cut().causedBy(e);
+      throw truncated().causedBy(e);
     }
   }
 
-  private HornbeamusherException cut() {
+  private HornbeamusherException truncated() {
     return HornbeamusherException.of(FailureType.ANSWER_CUT, Outcome.UNKNOWN, endpoint);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/entry/ServerSentEvents.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/ServerSentEventParser.java
@@ -5,19 +5,19 @@
 import java.util.List;
 
 /**
- * Cuts a stream of server-sent events into the data of each event.
+ * Splits a stream of server-sent events into the data of each event.
  *
- * <p>An event may be spread over any number of parts. A line longer than {@link #MAX_LINE_BYTES}
- * ends nothing but is cut, which its reader sees as malformed data.
+ * <p>An event may span any number of parts. A line longer than {@link #MAX_LINE_BYTES} is not an
+ * error here but is truncated, so that its consumer finds malformed data.
  */
-final class ServerSentEvents {
+final class ServerSentEventParser {
 
   private static final int MAX_LINE_BYTES = 1024 * 1024;
   private static final String DATA = "data:";
 
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-  /** Takes in a part and returns the data of every event that it completes. */
+  /** Adds a part and returns the data of every event that it completes. */
   List<String> feed(byte[] part) {
     List<String> events = new ArrayList<>();
     int start = 0;
--- a/runtime/src/main/java/org/hornbeamusher/entry/StreamedAnswerWriter.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/StreamedResponseWriter.java
@@ -7,51 +7,51 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 
 /**
- * Streams tokens as server-sent events. A whole answer ends in {@code [DONE]}; one that is cut ends
- * in an event with the error and a closed connection instead.
+ * Streams tokens as server-sent events. A complete response ends with {@code [DONE]}; a truncated
+ * one ends with an event that contains the error, and its connection is closed.
  */
-final class StreamedAnswerWriter extends HttpAnswerWriter {
+final class StreamedResponseWriter extends HttpResponseWriter {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final boolean chat;
   private String adapter = "";
 
-  StreamedAnswerWriter(
+  StreamedResponseWriter(
       HttpServerExchange exchange, CallerSink sink, String requestId, boolean chat) {
     super(exchange, sink, requestId);
     this.chat = chat;
   }
 
   @Override
-  public void begin(AnswerHead head) {
+  public void begin(ResponseHead head) {
     adapter = head.adapter();
-    head(head, 200, "text/event-stream");
+    writeHead(head, 200, "text/event-stream");
   }
 
   @Override
-  public void part(AnswerPart part) {
+  public void part(ResponsePart part) {
     switch (part) {
-      case AnswerPart.Token token -> write(event(token.text(), null));
-      case AnswerPart.Bytes bytes -> write(bytes.bytes());
+      case ResponsePart.Token token -> write(event(token.text(), null));
+      case ResponsePart.Bytes bytes -> write(bytes.bytes());
     }
   }
 
   @Override
-  public void end(AnswerEnd end) {
+  public void end(ResponseEnd end) {
     write(event("", end) + "data: [DONE]\n\n");
     finish();
   }
 
   @Override
-  void failDelivered(HornbeamusherException failure) {
+  void failAfterStart(HornbeamusherException failure) {
     write(
         "data: "
-            + new String(FailureReply.body(failure, requestId()), StandardCharsets.UTF_8)
+            + new String(FailureResponse.body(failure, requestId()), StandardCharsets.UTF_8)
             + "\n\n");
   }
 
-  private String event(String text, AnswerEnd end) {
+  private String event(String text, ResponseEnd end) {
     ObjectNode event = JSON.createObjectNode();
     event.put("id", requestId());
     event.put("object", chat ? "chat.completion.chunk" : "text_completion");
@@ -65,7 +65,7 @@
     }
     choice.put("finish_reason", end == null ? null : end.finishReason());
     if (end != null) {
-      WholeAnswerWriter.putUsage(event, end);
+      BufferedResponseWriter.putUsage(event, end);
     }
     return "data: " + event + "\n\n";
   }
--- a/runtime/src/main/java/org/hornbeamusher/entry/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/package-info.java
@@ -1,2 +1,2 @@
-/** The entry: the process that callers reach, which decides where each request runs. */
+/** The entry process, which serves callers and decides which endpoint runs each request. */
 package org.hornbeamusher.entry;
