--- a/runtime/src/main/java/org/hornbeamusher/ids/AdapterName.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/AdapterName.java
@@ -7,7 +7,7 @@
  */
 public record AdapterName(String value) implements Comparable<AdapterName> {
 
-  /** Refuses a text that is not an identifier. */
+  /** Rejects a value that is not a valid identifier. */
   public AdapterName {
     Identifiers.requireName("AdapterName", value);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ids/AdapterRef.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/AdapterRef.java
@@ -1,9 +1,9 @@
 package org.hornbeamusher.ids;
 
 /**
- * One version of one adapter of one service: what a request names and what an endpoint holds.
+ * One version of one adapter of a service, as requests name it and endpoints load it.
  *
- * <p>Written {@code service/adapter@version}.
+ * <p>The text form is {@code service/adapter@version}.
  *
  * @param service the service that owns the adapter
  * @param adapter the adapter
@@ -12,7 +12,7 @@
 public record AdapterRef(ServiceName service, AdapterName adapter, int version)
     implements Comparable<AdapterRef> {
 
-  /** Refuses a version below 1. */
+  /** Rejects a version below 1. */
   public AdapterRef {
     if (version < 1) {
       throw new InvalidIdentifierException("AdapterRef", service + "/" + adapter + "@" + version);
@@ -20,10 +20,10 @@
   }
 
   /**
-   * Reads the written form.
+   * Parses the text form.
    *
    * @param text {@code service/adapter@version}
-   * @return what it names
+   * @return the adapter version
    * @throws InvalidIdentifierException when the text has another form
    */
   public static AdapterRef parse(String text) {
@@ -38,11 +38,11 @@
         parseVersion(text, text.substring(at + 1)));
   }
 
-  private static int parseVersion(String whole, String digits) {
+  private static int parseVersion(String text, String digits) {
     try {
       return Integer.parseInt(digits);
     } catch (NumberFormatException e) {
-      throw new InvalidIdentifierException("AdapterRef", whole);
+      throw new InvalidIdentifierException("AdapterRef", text);
     }
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/ids/AvailabilityZone.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/AvailabilityZone.java
@@ -7,7 +7,7 @@
  */
 public record AvailabilityZone(String value) implements Comparable<AvailabilityZone> {
 
-  /** Refuses a text that is not an identifier. */
+  /** Rejects a value that is not a valid identifier. */
   public AvailabilityZone {
     Identifiers.requireName("AvailabilityZone", value);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ids/CallerId.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/CallerId.java
@@ -1,13 +1,13 @@
 package org.hornbeamusher.ids;
 
 /**
- * Who sends requests, as the entry's settings name it.
+ * A sender of requests, as named in the entry's settings.
  *
  * @param value for example {@code roster-desk}
  */
 public record CallerId(String value) implements Comparable<CallerId> {
 
-  /** Refuses a text that is not an identifier. */
+  /** Rejects a value that is not a valid identifier. */
   public CallerId {
     Identifiers.requireName("CallerId", value);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ids/EndpointId.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/EndpointId.java
@@ -7,7 +7,7 @@
  */
 public record EndpointId(String value) implements Comparable<EndpointId> {
 
-  /** Refuses a text that is not an identifier. */
+  /** Rejects a value that is not a valid identifier. */
   public EndpointId {
     Identifiers.requireName("EndpointId", value);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ids/EndpointLife.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/EndpointLife.java
@@ -1,38 +1,38 @@
 package org.hornbeamusher.ids;
 
 /**
- * One life of an endpoint, from its start to its end.
+ * One incarnation of an endpoint, from a start to the end of that run.
  *
- * <p>An endpoint that crashed may start again under the id that it had, and then holds nothing of
- * what it held. Whatever is believed of an endpoint is therefore believed of one life and ends with
- * it.
+ * <p>A crashed endpoint may restart under the same id and has then lost its state, such as its
+ * loaded adapters. Everything known of an endpoint therefore applies to one incarnation and becomes
+ * invalid with its end.
  *
- * <p>Lives have no order: the start is read from the clock of the endpoint's machine, which may
- * have been set back in between, so that a later life can name an earlier start. Two starts say
- * only that two lives differ. Which of them is the newer one follows from who spoke of them in
- * which order.
+ * <p>Incarnations have no order: the start is read from the clock of the endpoint's machine, which
+ * may have been set back in between, so that a later incarnation can state an earlier start. Two
+ * starts show only that two incarnations differ. Which one is newer follows from who reported them
+ * and in which order.
  *
  * @param id the endpoint
- * @param startMillis when it started, Unix milliseconds by its own machine's clock; {@link
- *     #UNKNOWN_START} when it did not say
+ * @param startMillis when it started, in milliseconds since the epoch by its own machine's clock;
+ *     {@link #UNKNOWN_START} when not stated
  */
 public record EndpointLife(EndpointId id, long startMillis) {
 
-  /** The endpoint names no start; its id alone tells its lives apart. */
+  /** The endpoint states no start; only its id can distinguish its incarnations. */
   public static final long UNKNOWN_START = 0;
 
   /**
-   * Tells whether two descriptions may be of one life.
+   * Tells whether two descriptions may refer to the same incarnation.
    *
    * @param other another description
-   * @return false when the ids differ, or when both name a start and the starts differ
+   * @return false when the ids differ, or when both state a start and the starts differ
    */
   public boolean sameAs(EndpointLife other) {
     return id.equals(other.id) && sameStart(startMillis, other.startMillis);
   }
 
   /**
-   * Tells whether two starts under one id may be of one life.
+   * Tells whether two starts of one endpoint id may belong to the same incarnation.
    *
    * @param one a start, or {@link #UNKNOWN_START}
    * @param other a start, or {@link #UNKNOWN_START}
--- a/runtime/src/main/java/org/hornbeamusher/ids/FencingNumber.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/FencingNumber.java
@@ -1,9 +1,10 @@
 package org.hornbeamusher.ids;
 
 /**
- * Orders the successive agents of one endpoint: an order with a lower number is stale.
+ * Number that orders the successive agents of one endpoint: an order with a lower number than the
+ * latest is stale.
  *
- * @param value rises with every lease of the endpoint's row
+ * @param value increases with every number that is allocated from the endpoint's row
  */
 public record FencingNumber(long value) implements Comparable<FencingNumber> {
 
--- a/runtime/src/main/java/org/hornbeamusher/ids/IdempotencyKey.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/IdempotencyKey.java
@@ -1,13 +1,13 @@
 package org.hornbeamusher.ids;
 
 /**
- * The caller's key that marks repeated sends of one non-repeatable request.
+ * A caller's key that identifies the retries of one non-repeatable request.
  *
  * @param value at most 128 printable characters
  */
 public record IdempotencyKey(String value) implements Comparable<IdempotencyKey> {
 
-  /** Refuses a text that is not an identifier. */
+  /** Rejects a value that is not a valid identifier. */
   public IdempotencyKey {
     Identifiers.requireOpaque("IdempotencyKey", value);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ids/Identifiers.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/Identifiers.java
@@ -2,13 +2,13 @@
 
 import java.util.regex.Pattern;
 
-/** The two alphabets that identifiers are written in. */
+/** The two syntaxes of identifiers. */
 final class Identifiers {
 
-  /** Longest name; it keeps rows and metric names readable. */
+  /** Greatest length of a name, in characters; it keeps rows and metric names readable. */
   static final int MAX_NAME_LENGTH = 64;
 
-  /** Longest opaque identifier. */
+  /** Greatest length of an opaque identifier, in characters. */
   static final int MAX_OPAQUE_LENGTH = 128;
 
   private static final Pattern NAME =
--- a/runtime/src/main/java/org/hornbeamusher/ids/Incarnation.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/Incarnation.java
@@ -1,8 +1,8 @@
 package org.hornbeamusher.ids;
 
 /**
- * Tells a process from an earlier one at the same address.
+ * Distinguishes a process from earlier ones at the same address.
  *
- * @param value drawn at random when the process starts
+ * @param value random number generated when the process starts
  */
 public record Incarnation(long value) {}
--- a/runtime/src/main/java/org/hornbeamusher/ids/InstanceId.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/InstanceId.java
@@ -1,13 +1,13 @@
 package org.hornbeamusher.ids;
 
 /**
- * A process of the system, as settings and certificates name it.
+ * A process of the system, as named in settings and certificates.
  *
  * @param value for example {@code marka-entry-1}
  */
 public record InstanceId(String value) implements Comparable<InstanceId> {
 
-  /** Refuses a text that is not an identifier. */
+  /** Rejects a value that is not a valid identifier. */
   public InstanceId {
     Identifiers.requireName("InstanceId", value);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ids/OperatorId.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/OperatorId.java
@@ -7,7 +7,7 @@
  */
 public record OperatorId(String value) implements Comparable<OperatorId> {
 
-  /** Refuses a text that is not an identifier. */
+  /** Rejects a value that is not a valid identifier. */
   public OperatorId {
     Identifiers.requireName("OperatorId", value);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ids/PartnerId.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/PartnerId.java
@@ -1,13 +1,13 @@
 package org.hornbeamusher.ids;
 
 /**
- * One of the organisations that pool capacity.
+ * One of the organisations that share the capacity of the system.
  *
  * @param value for example {@code zarqa}
  */
 public record PartnerId(String value) implements Comparable<PartnerId> {
 
-  /** Refuses a text that is not an identifier. */
+  /** Rejects a value that is not a valid identifier. */
   public PartnerId {
     Identifiers.requireName("PartnerId", value);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ids/PoolName.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/PoolName.java
@@ -1,14 +1,14 @@
 package org.hornbeamusher.ids;
 
 /**
- * Endpoints that can stand in for each other: the engines of one base model that the partners
- * share, or the instances of one plain service.
+ * A group of interchangeable endpoints: the engines of one base model, which the partners share, or
+ * the instances of one plain service.
  *
  * @param value for example {@code lm-dispatch}
  */
 public record PoolName(String value) implements Comparable<PoolName> {
 
-  /** Refuses a text that is not an identifier. */
+  /** Rejects a value that is not a valid identifier. */
   public PoolName {
     Identifiers.requireName("PoolName", value);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ids/ServiceName.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/ServiceName.java
@@ -7,7 +7,7 @@
  */
 public record ServiceName(String value) implements Comparable<ServiceName> {
 
-  /** Refuses a text that is not an identifier. */
+  /** Rejects a value that is not a valid identifier. */
   public ServiceName {
     Identifiers.requireName("ServiceName", value);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ids/TeamId.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/TeamId.java
@@ -7,7 +7,7 @@
  */
 public record TeamId(String value) implements Comparable<TeamId> {
 
-  /** Refuses a text that is not an identifier. */
+  /** Rejects a value that is not a valid identifier. */
   public TeamId {
     Identifiers.requireName("TeamId", value);
   }
--- a/runtime/src/main/java/org/hornbeamusher/ids/TimeOrderedUuid.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/TimeOrderedUuid.java
@@ -3,7 +3,7 @@
 import java.util.UUID;
 import java.util.random.RandomGenerator;
 
-/** Makes UUIDs of version 7 (RFC 9562): 48 bits of time, then random bits. */
+/** Generates UUIDs of version 7 (RFC 9562): 48 bits of time, then random bits. */
 public final class TimeOrderedUuid {
 
   private static final long VERSION = 0x7000L;
@@ -15,10 +15,10 @@
   private TimeOrderedUuid() {}
 
   /**
-   * Makes a UUID.
+   * Generates a UUID.
    *
-   * @param millis the time it carries, milliseconds since the epoch
-   * @param random fills the other bits
+   * @param millis the timestamp of the UUID, in milliseconds since the epoch
+   * @param random source of the other bits
    * @return the UUID
    */
   public static UUID of(long millis, RandomGenerator random) {
--- a/runtime/src/main/java/org/hornbeamusher/ids/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/ids/package-info.java
@@ -1,2 +1,2 @@
-/** Value types for the identifiers that cross slices. */
+/** Value types for the identifiers that are used by several packages. */
 package org.hornbeamusher.ids;
--- a/runtime/src/test/java/org/hornbeamusher/ids/AdapterRefTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/ids/AdapterRefTest.java
@@ -11,14 +11,14 @@
 class AdapterRefTest {
 
   @Property(seed = "20261202", tries = 200)
-  void theWrittenFormReadsBack(@ForAll @IntRange(min = 1) int version) {
+  void textFormRoundTrips(@ForAll @IntRange(min = 1) int version) {
     AdapterRef ref =
         new AdapterRef(new ServiceName("lm-dispatch"), new AdapterName("roster-1"), version);
     assertEquals(ref, AdapterRef.parse(ref.toString()));
   }
 
   @Test
-  void otherFormsAreRefused() {
+  void malformedTextIsRejected() {
     for (String text : new String[] {"", "a", "a/b", "a@1", "a/b@0", "a/b@x", "A/b@1", "a/@1"}) {
       assertThrows(InvalidIdentifierException.class, () -> AdapterRef.parse(text), text);
     }
