--- a/runtime/src/main/java/org/hornbeamusher/failure/FailureType.java
+++ b/runtime/src/main/java/org/hornbeamusher/failure/FailureType.java
@@ -106,7 +106,7 @@
   }
 
   /**
-   * Returns the status of an HTTP answer that reports this failure.
+   * Returns the status of an HTTP response that reports this failure.
    *
    * @return an HTTP status code
    */
@@ -117,7 +117,7 @@
   /**
    * Returns the severity.
    *
-   * @return how much attention the failure asks for
+   * @return how urgently an operator has to look at the failure
    */
   public Severity severity() {
     return severity;
@@ -133,7 +133,7 @@
   }
 
   /**
-   * Returns the stable name that callers and metrics see.
+   * Returns the stable name that appears in responses and metrics.
    *
    * @return for example {@code queue-full}
    */
@@ -144,8 +144,8 @@
   /**
    * Finds a type by its number.
    *
-   * @param number the number in the catalogue, perhaps of a newer process
-   * @return the type, {@link #INTERNAL} when the number is not known here
+   * @param number the number in the catalogue, possibly sent by a newer process
+   * @return the type, {@link #INTERNAL} when the number is unknown to this process
    */
   public static FailureType ofNumber(int number) {
     for (FailureType type : values()) {
--- a/runtime/src/main/java/org/hornbeamusher/failure/HornbeamusherException.java
+++ b/runtime/src/main/java/org/hornbeamusher/failure/HornbeamusherException.java
@@ -5,12 +5,12 @@
 import java.util.OptionalLong;
 import java.util.concurrent.CompletionException;
 
-/** A failure of a known type; the only exception that crosses slices. */
+/** A failure of a known type; the only exception that crosses package boundaries. */
 public final class HornbeamusherException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  private static final int MOST_ARGUMENTS = 4;
+  private static final int MAX_ARGUMENTS = 4;
 
   private final FailureType type;
   private final transient Outcome outcome;
@@ -26,9 +26,12 @@
     this.arguments = Arrays.asList(args);
   }
 
-  /** A failure passed on from another process may bring fewer arguments than its template takes. */
+  /**
+   * Pads the arguments: a failure received from another process may have fewer arguments than its
+   * template needs.
+   */
   private static String message(FailureType type, Object... args) {
-    Object[] padded = Arrays.copyOf(args, args.length + MOST_ARGUMENTS);
+    Object[] padded = Arrays.copyOf(args, args.length + MAX_ARGUMENTS);
     Arrays.fill(padded, args.length, padded.length, "?");
     return String.format(type.template(), padded);
   }
@@ -57,9 +60,9 @@
   }
 
   /**
-   * Returns this failure with a time after which the caller may try again.
+   * Returns this failure with a delay after which the caller may retry.
    *
-   * @param millis from now
+   * @param millis the delay from now, in milliseconds
    * @return a copy
    */
   public HornbeamusherException retryAfter(long millis) {
@@ -69,7 +72,7 @@
   /**
    * Returns this failure with its cause.
    *
-   * @param cause what led to it
+   * @param cause the exception that caused it
    * @return a copy
    */
   public HornbeamusherException causedBy(Throwable cause) {
@@ -88,9 +91,9 @@
   }
 
   /**
-   * Finds the typed failure behind what a future failed with.
+   * Returns the typed failure behind the exception of a failed future.
    *
-   * @param thrown any throwable, perhaps wrapped by a future
+   * @param thrown any throwable, possibly wrapped by a future
    * @return the typed failure; {@link FailureType#INTERNAL} with an unknown outcome when untyped
    */
   public static HornbeamusherException from(Throwable thrown) {
@@ -123,7 +126,7 @@
   }
 
   /**
-   * Returns when to try again.
+   * Returns the delay after which the caller may retry.
    *
    * @return milliseconds from now, or empty when that is not known
    */
@@ -132,7 +135,7 @@
   }
 
   /**
-   * Returns what fills the template.
+   * Returns the arguments of the message template.
    *
    * @return the arguments in order
    */
--- a/runtime/src/main/java/org/hornbeamusher/failure/Outcome.java
+++ b/runtime/src/main/java/org/hornbeamusher/failure/Outcome.java
@@ -1,24 +1,25 @@
 package org.hornbeamusher.failure;
 
 /**
- * What a failure promises about the request it ended.
+ * What a failure guarantees about the request that it ended.
  *
- * <p>Each constant is its own type, so that a switch over outcomes is checked by the compiler.
+ * <p>Each outcome is its own type, so that the compiler checks a switch over outcomes for
+ * completeness.
  */
 public sealed interface Outcome {
 
   /**
-   * The form callers see.
+   * Returns the label that callers receive.
    *
    * @return {@code not-run}, {@code ran} or {@code unknown}
    */
   String label();
 
   /**
-   * Reads the form callers see.
+   * Parses the label that callers receive.
    *
    * @param label as {@link #label} gives it
-   * @return the outcome; unknown for any other text, which promises nothing
+   * @return the outcome; unknown, which guarantees nothing, for any other text
    */
   static Outcome ofLabel(String label) {
     return switch (label) {
@@ -28,7 +29,7 @@
     };
   }
 
-  /** No endpoint started the request, and none will. Said only where it is proven. */
+  /** No endpoint started the request, and none will. Reported only when this is proven. */
   record NotRun() implements Outcome {
     @Override
     public String label() {
--- a/runtime/src/main/java/org/hornbeamusher/failure/Severity.java
+++ b/runtime/src/main/java/org/hornbeamusher/failure/Severity.java
@@ -1,11 +1,11 @@
 package org.hornbeamusher.failure;
 
-/** How much attention a failure asks for. */
+/** How urgently an operator has to look at a failure. */
 public enum Severity {
-  /** Ordinary operation; the other side asked for something it cannot have. */
+  /** Normal operation; the other side requested something that it cannot have. */
   INFO,
-  /** Service is reduced; an operator looks at it in working hours. */
+  /** Service is degraded; an operator has to look at it in working hours. */
   WARNING,
-  /** A promise is at risk; an operator looks at it now. */
+  /** A guarantee is at risk; an operator has to look at it immediately. */
   ERROR
 }
--- a/runtime/src/main/java/org/hornbeamusher/failure/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/failure/package-info.java
@@ -1,2 +1,2 @@
-/** The numbered catalogue of failures and the outcome each one promises to a caller. */
+/** The numbered catalogue of failures and the outcome that each one reports to a caller. */
 package org.hornbeamusher.failure;
