--- a/runtime/src/main/java/org/hornbeamusher/process/HttpListener.java
+++ b/runtime/src/main/java/org/hornbeamusher/process/HttpListener.java
@@ -8,7 +8,7 @@
 import org.hornbeamusher.security.ReloadingTlsContext;
 import org.hornbeamusher.settings.ListenSettings;
 
-/** Serves HTTP or HTTPS where settings say; TLS keys are read again while it runs. */
+/** Serves HTTP or HTTPS at the configured address; reloads TLS keys while it runs. */
 public final class HttpListener {
 
   private static final long TLS_RELOAD_MILLIS = 10_000;
@@ -19,9 +19,9 @@
   private Undertow server;
 
   /**
-   * Creates a listener that is not started.
+   * Creates a listener without starting it.
    *
-   * @param settings where it listens
+   * @param settings its address and TLS files
    * @param builder further options of the server
    */
   public HttpListener(ListenSettings settings, Undertow.Builder builder) {
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Listens.
+   * Starts listening.
    *
-   * @param handler answers every request
+   * @param handler handles every request
    */
   public void start(HttpHandler handler) {
     if (tls.isPresent()) {
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Returns where it listens; known once started.
+   * Returns the address at which it listens; known once started.
    *
    * @return scheme, host and port
    */
--- a/runtime/src/main/java/org/hornbeamusher/process/MeteredTable.java
+++ b/runtime/src/main/java/org/hornbeamusher/process/MeteredTable.java
@@ -11,7 +11,7 @@
 import org.hornbeamusher.table.Table;
 import org.hornbeamusher.table.Transaction;
 
-/** Counts the calls of a table, failed ones included: the table is paid and limited by calls. */
+/** Counts the calls of a table, including failed ones: the table service bills and limits calls. */
 final class MeteredTable implements Table {
 
   private final Table table;
--- a/runtime/src/main/java/org/hornbeamusher/process/MetricsListener.java
+++ b/runtime/src/main/java/org/hornbeamusher/process/MetricsListener.java
@@ -16,11 +16,14 @@
 import org.hornbeamusher.loop.EventLoop;
 import org.xnio.XnioWorker;
 
-/** Serves a registry of metrics as text, at any path of an address. */
+/** Serves a metric registry in the Prometheus text format, at every path of an address. */
 public final class MetricsListener {
 
-  /** Callers wait for a process that starts; nobody reads its figures in its first seconds. */
-  private static final long LATER_MILLIS = 3_000;
+  /**
+   * Delay of the start: callers wait for a starting process, but nobody reads its metrics in the
+   * first seconds.
+   */
+  private static final long START_DELAY_MILLIS = 3_000;
 
   private final InetSocketAddress address;
   private final XnioWorker worker;
@@ -30,9 +33,9 @@
   /**
    * Creates a listener that is not started.
    *
-   * @param address where it listens
-   * @param worker carries its connections
-   * @param registry what it serves
+   * @param address the address to listen at
+   * @param worker the worker that handles its connections
+   * @param registry the metrics to serve
    */
   public MetricsListener(InetSocketAddress address, XnioWorker worker, MetricRegistry registry) {
     this.address = address;
@@ -40,24 +43,24 @@
     collectors.register(new DropwizardExports(registry));
   }
 
-  /** Listens. */
+  /** Starts listening. */
   public void start() {
     server =
         Undertow.builder()
             .setWorker(worker)
             .addHttpListener(address.getPort(), address.getHostString())
-            .setHandler(this::answer)
+            .setHandler(this::serve)
             .build();
     server.start();
   }
 
   /**
-   * Listens once the process has done what callers wait for.
+   * Starts listening after a delay, so that the process first does what callers wait for.
    *
-   * @param loop of the process
+   * @param loop the event loop of the process
    */
   public void startLater(EventLoop loop) {
-    loop.after(LATER_MILLIS, this::start);
+    loop.after(START_DELAY_MILLIS, this::start);
   }
 
   /** Stops listening. */
@@ -67,12 +70,12 @@
     }
   }
 
-  private void answer(HttpServerExchange exchange) {
+  private void serve(HttpServerExchange exchange) {
     exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, TextFormat.CONTENT_TYPE_004);
-    exchange.getResponseSender().send(page());
+    exchange.getResponseSender().send(render());
   }
 
-  private String page() {
+  private String render() {
     StringWriter text = new StringWriter();
     try {
       TextFormat.write004(text, collectors.metricFamilySamples());
--- a/runtime/src/main/java/org/hornbeamusher/process/ProcessServices.java
+++ b/runtime/src/main/java/org/hornbeamusher/process/ProcessServices.java
@@ -22,12 +22,14 @@
 import org.hornbeamusher.table.InstanceList;
 import org.hornbeamusher.table.Table;
 
-/** What an entry and an agent have in common, started and stopped with their process. */
+/** Services that entries and agents have in common, started and stopped with their process. */
 public final class ProcessServices {
 
   private static final int IO_THREADS = 2;
 
-  /** The table answers in milliseconds; what took longer than this is treated as lost. */
+  /**
+   * The table responds within milliseconds; a call that takes longer than this is treated as lost.
+   */
   private static final long PLATFORM_TIMEOUT_MILLIS = 2_000;
 
   private final Clock clock;
@@ -45,7 +47,8 @@
    * Creates services that are not started.
    *
    * @param platform the platform's address
-   * @param pollers how many processes poll the table for documents; 0 when this one does not
+   * @param pollers the number of processes that poll the table for documents; 0 when this one does
+   *     not
    * @param clock the clock
    */
   public ProcessServices(URI platform, IntSupplier pollers, Clock clock) {
@@ -67,16 +70,16 @@
     sync.start();
   }
 
-  /** Ends both. */
+  /** Stops the polling and the HTTP client. */
   public void stop() {
     sync.stop();
     http.stop();
   }
 
   /**
-   * Returns the measurements of the process as a whole.
+   * Returns the metrics of the process as a whole.
    *
-   * @return kept in the registry of {@link #metrics}
+   * @return the metrics, which are in the registry of {@link #metrics}
    */
   public ProcessMetrics processMetrics() {
     return processMetrics;
@@ -94,16 +97,16 @@
   /**
    * Returns the HTTP client.
    *
-   * @return carries every call of the process
+   * @return the client that makes every call of the process
    */
   public HttpClient http() {
     return http;
   }
 
   /**
-   * Returns the table service.
+   * Returns the client of the table service.
    *
-   * @return its client
+   * @return the table
    */
   public Table table() {
     return table;
@@ -112,32 +115,32 @@
   /**
    * Reads the instance list.
    *
-   * @return as {@link InstanceList#instances}
+   * @return the result of {@link InstanceList#instances}
    */
   public CompletableFuture<List<Instance>> instances() {
     return instances.instances();
   }
 
   /**
-   * Returns the documents in force.
+   * Returns the current documents.
    *
-   * @return what this process holds
+   * @return the documents that this process has
    */
   public DocumentHolder documents() {
     return documents;
   }
 
   /**
-   * Returns the documents' rows.
+   * Returns the store of the documents' rows.
    *
-   * @return their store
+   * @return the store
    */
   public DocumentStore store() {
     return store;
   }
 
   /**
-   * Returns what keeps the documents up to date.
+   * Returns the service that keeps the documents up to date.
    *
    * @return the service
    */
@@ -146,7 +149,7 @@
   }
 
   /**
-   * Returns what carries documents between processes.
+   * Returns the exchange of documents between processes.
    *
    * @return the exchange
    */
@@ -155,7 +158,7 @@
   }
 
   /**
-   * Returns the metrics.
+   * Returns the metrics of the services.
    *
    * @return the metrics of this process
    */
--- a/runtime/src/main/java/org/hornbeamusher/process/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/process/package-info.java
@@ -1,2 +1,4 @@
-/** What every process of the system has: the platform, the documents in force, and metrics. */
+/**
+ * What every process of the system has: access to the platform, the current documents, and metrics.
+ */
 package org.hornbeamusher.process;
