--- a/runtime/src/main/java/org/hornbeamusher/clock/Clock.java
+++ b/runtime/src/main/java/org/hornbeamusher/clock/Clock.java
@@ -1,9 +1,9 @@
 package org.hornbeamusher.clock;
 
 /**
- * Tells the time in milliseconds.
+ * Returns the current time in milliseconds.
  *
- * <p>Every decision takes its time from here, so that a test can turn it by hand. The value is
+ * <p>Every decision reads the time from here, so that a test can control it. The value is
  * wall-clock time since the epoch, because deadlines and idempotency keys are compared between
  * processes; no decision may rely on it never stepping back.
  */
--- a/runtime/src/main/java/org/hornbeamusher/clock/ElapsedClock.java
+++ b/runtime/src/main/java/org/hornbeamusher/clock/ElapsedClock.java
@@ -3,47 +3,47 @@
 /**
  * A monotonic clock that also counts the time for which the machine was suspended.
  *
- * <p>The steady clock stands still while a machine is suspended; the time of day goes on. So what
- * the time of day gains on the steady clock between two readings is added. A time of day that is
- * set forward is counted as well: this clock may run ahead, which makes what it measures look older
- * than it is, but a step back is never taken off. A suspension that a step back hides within one
- * interval between two readings is not seen, so it has to be read often.
+ * <p>The monotonic clock stops while the machine is suspended; the wall clock continues. This clock
+ * therefore adds the time that the wall clock gains on the monotonic clock between two readings. A
+ * forward step of the wall clock is counted as well: this clock may run ahead, so that measured
+ * ages are too large, but a backward step is never subtracted. A suspension that a backward step
+ * hides between two readings is not detected, so the clock has to be read often.
  */
 public final class ElapsedClock implements Clock {
 
-  /** The machine's. */
+  /** The instance for the clocks of this machine. */
   public static final ElapsedClock INSTANCE =
       new ElapsedClock(SteadyClock.INSTANCE, SystemClock.INSTANCE);
 
-  /** Readings of two clocks that follow each other differ by a little. */
-  private static final long NOISE_MILLIS = 20;
+  /** Tolerance for the time between the readings of the two clocks. */
+  private static final long READ_JITTER_MILLIS = 20;
 
-  private final Clock steady;
-  private final Clock timeOfDay;
+  private final Clock monotonic;
+  private final Clock wallClock;
   private long offsetMillis;
   private long suspendedMillis;
 
   /**
    * Creates a clock.
    *
-   * @param steady stands still while the machine is suspended
-   * @param timeOfDay goes on, and may be set
+   * @param monotonic stops while the machine is suspended
+   * @param wallClock the wall clock, which continues during suspension and may be set
    */
-  public ElapsedClock(Clock steady, Clock timeOfDay) {
-    this.steady = steady;
-    this.timeOfDay = timeOfDay;
-    this.offsetMillis = timeOfDay.millis() - steady.millis();
+  public ElapsedClock(Clock monotonic, Clock wallClock) {
+    this.monotonic = monotonic;
+    this.wallClock = wallClock;
+    this.offsetMillis = wallClock.millis() - monotonic.millis();
   }
 
   @Override
   public synchronized long millis() {
-    long now = steady.millis();
-    long offset = timeOfDay.millis() - now;
+    long now = monotonic.millis();
+    long offset = wallClock.millis() - now;
     long gained = offset - offsetMillis;
-    if (gained > NOISE_MILLIS) {
+    if (gained > READ_JITTER_MILLIS) {
       suspendedMillis += gained;
       offsetMillis = offset;
-    } else if (gained < -NOISE_MILLIS) {
+    } else if (gained < -READ_JITTER_MILLIS) {
       offsetMillis = offset;
     }
     return now + suspendedMillis;
--- a/runtime/src/main/java/org/hornbeamusher/clock/ManualClock.java
+++ b/runtime/src/main/java/org/hornbeamusher/clock/ManualClock.java
@@ -2,7 +2,9 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A clock that stands still until it is advanced; used by tests and by the policy benchmark. */
+/**
+ * A clock that changes only when it is advanced or set; used by tests and by the policy benchmark.
+ */
 public final class ManualClock implements Clock {
 
   private final AtomicLong now;
@@ -10,7 +12,7 @@
   /**
    * Creates a clock.
    *
-   * @param startMillis the time it shows first
+   * @param startMillis the initial time
    */
   public ManualClock(long startMillis) {
     this.now = new AtomicLong(startMillis);
@@ -24,7 +26,7 @@
   /**
    * Moves the clock forward.
    *
-   * @param millis how far
+   * @param millis the increment
    * @return the new time
    */
   public long advance(long millis) {
--- a/runtime/src/main/java/org/hornbeamusher/clock/SteadyClock.java
+++ b/runtime/src/main/java/org/hornbeamusher/clock/SteadyClock.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The machine's monotonic clock: milliseconds since an arbitrary moment.
+ * The machine's monotonic clock: milliseconds since an arbitrary origin.
  *
- * <p>The time of day may step by seconds in either direction. A timeout measured with it would fire
- * at once or not for seconds, so every duration inside one process is measured with this clock. Its
- * values mean nothing to another process.
+ * <p>The wall clock may step by seconds in either direction. A timeout measured with it could fire
+ * at once or seconds late, so every duration within one process is measured with this clock. Its
+ * values are meaningless to other processes.
  */
 public final class SteadyClock implements Clock {
 
--- a/runtime/src/main/java/org/hornbeamusher/clock/SystemClock.java
+++ b/runtime/src/main/java/org/hornbeamusher/clock/SystemClock.java
@@ -1,6 +1,6 @@
 package org.hornbeamusher.clock;
 
-/** The machine's clock. */
+/** The wall clock of this machine. */
 public final class SystemClock implements Clock {
 
   /** The only instance. */
--- a/runtime/src/main/java/org/hornbeamusher/clock/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/clock/package-info.java
@@ -1,2 +1,2 @@
-/** The one notion of time: milliseconds from a clock that tests turn by hand. */
+/** The only source of time: clocks in milliseconds, which tests can control. */
 package org.hornbeamusher.clock;
--- a/runtime/src/test/java/org/hornbeamusher/clock/ElapsedClockTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/clock/ElapsedClockTest.java
@@ -6,29 +6,32 @@
 
 class ElapsedClockTest {
 
-  private final ManualClock steady = new ManualClock(1_000);
-  private final ManualClock timeOfDay = new ManualClock(50_000);
-  private final ElapsedClock clock = new ElapsedClock(steady, timeOfDay);
+  private final ManualClock monotonic = new ManualClock(1_000);
+  private final ManualClock wallClock = new ManualClock(50_000);
+  private final ElapsedClock clock = new ElapsedClock(monotonic, wallClock);
 
-  /** A suspended machine took an old proof for a young one. */
+  /** Guards against time in suspension not being counted, which made an old proof appear recent. */
   @Test
-  void suspensionCounts() {
+  void suspensionIsCounted() {
     long before = clock.millis();
-    timeOfDay.advance(4_000);
+    wallClock.advance(4_000);
     assertEquals(4_000, clock.millis() - before);
-    steady.advance(10);
-    timeOfDay.advance(10);
+    monotonic.advance(10);
+    wallClock.advance(10);
     assertEquals(4_010, clock.millis() - before);
   }
 
-  /** A time of day that is set back made old proofs young again. */
+  /**
+   * Guards against a backward step of the wall clock being subtracted, which made old proofs appear
+   * recent.
+   */
   @Test
-  void stepBackTakesNothingOff() {
+  void backwardStepSubtractsNothing() {
     long before = clock.millis();
-    steady.advance(100);
-    timeOfDay.set(10_000);
+    monotonic.advance(100);
+    wallClock.set(10_000);
     assertEquals(100, clock.millis() - before);
-    timeOfDay.advance(3_000);
+    wallClock.advance(3_000);
     assertEquals(3_100, clock.millis() - before);
   }
 }
