--- a/runtime/src/main/java/org/hornbeamusher/status/ProcessStatus.java
+++ b/runtime/src/main/java/org/hornbeamusher/status/ProcessStatus.java
@@ -17,16 +17,16 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * One process at one moment.
+ * The status of one process at one moment.
  *
  * @param instance the process
  * @param role {@code entry} or {@code agent}
- * @param zone where it runs
- * @param leaving whether it takes no new work
+ * @param zone the availability zone in which it runs
+ * @param leaving whether it is leaving and accepts no new requests
  * @param inFlight requests that were admitted and have not ended
  * @param endpoints the endpoints it knows
  * @param services the services it knows
- * @param quarantined requests that are refused because endpoints crashed while they ran them
+ * @param quarantined requests that are refused because endpoints crashed while running them
  */
 public record ProcessStatus(
     InstanceId instance,
@@ -51,14 +51,14 @@
    * One endpoint as this process knows it.
    *
    * @param id the endpoint
-   * @param zone where it is
+   * @param zone its availability zone
    * @param pool its pool
-   * @param reachable whether work is sent to it
+   * @param reachable whether requests are sent to it
    * @param running requests in its batch
-   * @param batch most requests it runs at once
-   * @param queued requests that wait at its agent
-   * @param slots most adapters it holds at once
-   * @param resident the adapters it holds
+   * @param batch greatest number of requests that it runs at once
+   * @param queued requests that are queued at its agent
+   * @param slots greatest number of adapters in its engine's memory
+   * @param resident the adapters in its engine's memory
    */
   public record Endpoint(
       EndpointId id,
@@ -82,8 +82,8 @@
    *
    * @param name the service
    * @param partner the partner it belongs to
-   * @param version the version of its document in force here
-   * @param answered requests answered whole since the process started
+   * @param version the version of its current document in this process
+   * @param answered requests with a complete response since the process started
    * @param refused requests refused or failed since then, by type
    */
   public record Service(
@@ -100,17 +100,18 @@
   }
 
   /**
-   * One request that is refused from now on.
+   * One request that is refused during its quarantine.
    *
    * @param service the service it was sent to
-   * @param fingerprint the hash that recognises it
-   * @param untilMillis when it is let in again
+   * @param fingerprint the hash that identifies it
+   * @param untilMillis when the quarantine ends, in milliseconds since the epoch
    */
   public record Quarantined(ServiceName service, String fingerprint, long untilMillis) {}
 
   /**
-   * Removes what belongs to other partners: their services, adapters and quarantined requests.
-   * Counts of an endpoint stay, because a shared endpoint that is full concerns everyone on it.
+   * Returns a copy without the services, adapters and quarantined requests of other partners.
+   * Counts of an endpoint remain, because a shared endpoint that is full affects every partner on
+   * it.
    *
    * @param partner the reader's partner
    * @return a copy
--- a/runtime/src/main/java/org/hornbeamusher/status/StatusText.java
+++ b/runtime/src/main/java/org/hornbeamusher/status/StatusText.java
@@ -3,17 +3,17 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Shows a status on one screen. */
+/** Formats a status as text that fits on one screen. */
 public final class StatusText {
 
-  private static final int SHOWN_ADAPTERS = 8;
+  private static final int MAX_SHOWN_ADAPTERS = 8;
 
   private StatusText() {}
 
   /**
-   * Writes plain text.
+   * Formats a status as plain text.
    *
-   * @param status what to show
+   * @param status the status
    * @return lines of at most about 120 characters
    */
   public static String of(ProcessStatus status) {
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Writes a read-only page without script.
+   * Formats a status as a read-only page without scripts.
    *
-   * @param status what to show
+   * @param status the status
    * @return HTML
    */
   public static String page(ProcessStatus status) {
@@ -59,10 +59,10 @@
     String resident =
         endpoint.resident().stream()
             .sorted()
-            .limit(SHOWN_ADAPTERS)
+            .limit(MAX_SHOWN_ADAPTERS)
             .map(ref -> ref.adapter() + "@" + ref.version())
             .collect(Collectors.joining(" "));
-    int more = endpoint.resident().size() - SHOWN_ADAPTERS;
+    int more = endpoint.resident().size() - MAX_SHOWN_ADAPTERS;
     return "%-20s %-12s %-12s %4d/%-4d %6d  %s%s%n"
         .formatted(
             endpoint.id(),
--- a/runtime/src/main/java/org/hornbeamusher/status/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/status/package-info.java
@@ -1,2 +1,2 @@
-/** What a process tells operators about itself, as data, JSON, text and a read-only page. */
+/** The status that a process reports to operators, as data, JSON, text and a read-only page. */
 package org.hornbeamusher.status;
