--- a/runtime/src/main/java/org/hornbeamusher/operator/DocumentCalls.java
+++ b/runtime/src/main/java/org/hornbeamusher/operator/DocumentHandlers.java
@@ -21,8 +21,8 @@
 import org.hornbeamusher.ids.ServiceName;
 import org.hornbeamusher.security.Identity;
 
-/** The calls that read and change service documents. */
-final class DocumentCalls {
+/** Handles the operator requests that read and change service documents. */
+final class DocumentHandlers {
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int MAX_ENTRIES = 1_000;
@@ -32,13 +32,13 @@
 
   private final OperatorHost host;
 
-  DocumentCalls(OperatorHost host) {
+  DocumentHandlers(OperatorHost host) {
     this.host = host;
   }
 
   void submit(HttpServerExchange exchange, Identity.Operator operator) {
     ServiceName service = service(exchange);
-    long base = number(exchange, "base", 0);
+    long base = queryNumber(exchange, "base", 0);
     DocumentStore store = store(exchange);
     exchange.setMaxEntitySize(MAX_BODY_BYTES);
     exchange
@@ -46,15 +46,16 @@
         .receiveFullBytes(
             (done, body) -> {
               String text = new String(body, StandardCharsets.UTF_8);
-              OperatorApi.whenDone(done, submitted(store, service, text, base, operator));
+              OperatorApi.respondWhenDone(
+                  done, submitDocument(store, service, text, base, operator));
             },
             (failed, cause) ->
-                OperatorReply.failure(
+                OperatorResponse.failure(
                     failed,
                     HornbeamusherException.notRun(FailureType.BODY_TOO_LARGE, MAX_BODY_BYTES)));
   }
 
-  private static CompletableFuture<String> submitted(
+  private static CompletableFuture<String> submitDocument(
       DocumentStore store, ServiceName service, String text, long base, Identity.Operator author) {
     String file = service.value();
     if (ServiceDocumentReader.read(file, text) instanceof DocumentReading.Valid valid
@@ -71,8 +72,8 @@
 
   void delete(HttpServerExchange exchange, Identity.Operator operator) {
     ServiceName service = service(exchange);
-    long base = number(exchange, "base", 0);
-    OperatorApi.whenDone(
+    long base = queryNumber(exchange, "base", 0);
+    OperatorApi.respondWhenDone(
         exchange,
         store(exchange)
             .delete(service, base, principal(operator))
@@ -110,7 +111,7 @@
   }
 
   void show(HttpServerExchange exchange, Identity.Operator operator) {
-    OperatorApi.whenDone(
+    OperatorApi.respondWhenDone(
         exchange,
         store(exchange)
             .show(service(exchange), principal(operator))
@@ -118,9 +119,9 @@
   }
 
   void history(HttpServerExchange exchange, Identity.Operator operator) {
-    long after = number(exchange, "after", 0);
-    int limit = (int) Math.min(MAX_ENTRIES, number(exchange, "limit", MAX_ENTRIES));
-    OperatorApi.whenDone(
+    long after = queryNumber(exchange, "after", 0);
+    int limit = (int) Math.min(MAX_ENTRIES, queryNumber(exchange, "limit", MAX_ENTRIES));
+    OperatorApi.respondWhenDone(
         exchange,
         store(exchange)
             .history(service(exchange), principal(operator), after, limit)
@@ -133,9 +134,9 @@
   }
 
   void attempts(HttpServerExchange exchange, Identity.Operator operator) {
-    long after = number(exchange, "after", 0);
-    int limit = (int) Math.min(MAX_ENTRIES, number(exchange, "limit", MAX_ENTRIES));
-    OperatorApi.whenDone(
+    long after = queryNumber(exchange, "after", 0);
+    int limit = (int) Math.min(MAX_ENTRIES, queryNumber(exchange, "limit", MAX_ENTRIES));
+    OperatorApi.respondWhenDone(
         exchange,
         store(exchange)
             .attempts(service(exchange), principal(operator), after, limit)
@@ -186,7 +187,7 @@
     }
   }
 
-  private static long number(HttpServerExchange exchange, String name, long fallback) {
+  private static long queryNumber(HttpServerExchange exchange, String name, long fallback) {
     Deque<String> values = exchange.getQueryParameters().get(name);
     if (values == null) {
       return fallback;
--- a/runtime/src/main/java/org/hornbeamusher/operator/OperatorApi.java
+++ b/runtime/src/main/java/org/hornbeamusher/operator/OperatorApi.java
@@ -19,23 +19,23 @@
 import org.hornbeamusher.status.StatusText;
 
 /**
- * Serves operators over HTTP.
+ * The operators' HTTP API.
  *
  * <table>
  * <caption>Paths</caption>
  * <tr><td>{@code POST /operator/documents/SERVICE?base=N}</td><td>submits a document</td></tr>
- * <tr><td>{@code DELETE /operator/documents/SERVICE?base=N}</td><td>withdraws a service</td></tr>
- * <tr><td>{@code GET /operator/documents/SERVICE}</td><td>shows what is in force</td></tr>
+ * <tr><td>{@code DELETE /operator/documents/SERVICE?base=N}</td><td>deletes a document</td></tr>
+ * <tr><td>{@code GET /operator/documents/SERVICE}</td><td>shows the current document</td></tr>
  * <tr><td>{@code GET /operator/history/SERVICE}</td><td>lists accepted changes</td></tr>
  * <tr><td>{@code GET /operator/attempts/SERVICE}</td><td>lists refused attempts</td></tr>
- * <tr><td>{@code POST /operator/drain}</td><td>makes the process leave</td></tr>
+ * <tr><td>{@code POST /operator/drain}</td><td>starts a drain of the process</td></tr>
  * <tr><td>{@code GET /status}, {@code /status.txt}, {@code /status.html}</td><td>status</td></tr>
  * <tr><td>{@code GET /metrics}</td><td>JSON, or Prometheus text</td></tr>
  * </table>
  *
- * <p>Each handler first finds the operator, so that no path answers anything to a token of another
- * role; what is read afterwards is filtered by the operator's partner. A process without a document
- * store (an agent) answers {@code UNKNOWN_PATH} on the document paths.
+ * <p>Each request is first authenticated as an operator's, so that no path returns anything to a
+ * token of another role; the results are then filtered by the operator's partner. A process without
+ * a document store (an agent) responds with {@code UNKNOWN_PATH} on the document paths.
  */
 public final class OperatorApi implements HttpHandler {
 
@@ -45,24 +45,24 @@
   private final OperatorHost host;
   private final TokenDirectory tokens;
   private final MetricsReport metrics;
-  private final DocumentCalls documents;
+  private final DocumentHandlers documents;
 
   /**
-   * Creates the interface.
+   * Creates the API.
    *
    * @param host the process it belongs to
-   * @param tokens who is an operator
+   * @param tokens identifies operators
    * @param metrics the process's metrics
    */
   public OperatorApi(OperatorHost host, TokenDirectory tokens, MetricsReport metrics) {
     this.host = host;
     this.tokens = tokens;
     this.metrics = metrics;
-    this.documents = new DocumentCalls(host);
+    this.documents = new DocumentHandlers(host);
   }
 
   /**
-   * Adds the interface's paths to a server.
+   * Adds the paths of the API to a server.
    *
    * @param paths the server's handler
    * @return the same handler
@@ -79,16 +79,16 @@
           tokens.operator(exchange.getRequestHeaders().getFirst(Headers.AUTHORIZATION));
       handle(exchange, operator);
     } catch (RuntimeException e) {
-      OperatorReply.failure(exchange, e);
+      OperatorResponse.failure(exchange, e);
     }
   }
 
   private void handle(HttpServerExchange exchange, Identity.Operator operator) {
     String path = exchange.getRequestPath();
     switch (exchange.getRequestMethod() + " " + firstSegments(path)) {
-      case "GET /status" -> OperatorReply.json(exchange, status(operator).json());
-      case "GET /status.txt" -> OperatorReply.text(exchange, StatusText.of(status(operator)));
-      case "GET /status.html" -> OperatorReply.html(exchange, StatusText.page(status(operator)));
+      case "GET /status" -> OperatorResponse.json(exchange, status(operator).json());
+      case "GET /status.txt" -> OperatorResponse.text(exchange, StatusText.of(status(operator)));
+      case "GET /status.html" -> OperatorResponse.html(exchange, StatusText.page(status(operator)));
       case "GET /metrics" -> metrics(exchange, operator.partner());
       case "POST /operator/drain" -> drain(exchange, operator);
       case "POST /operator/documents" -> documents.submit(exchange, operator);
@@ -120,9 +120,9 @@
             || (accepts != null && accepts.contains("text/plain"));
     if (prometheus) {
       String text = metrics.prometheus(service -> owns(partner, service));
-      OperatorReply.send(exchange, MetricsReport.PROMETHEUS_TYPE, text);
+      OperatorResponse.send(exchange, MetricsReport.PROMETHEUS_TYPE, text);
     } else {
-      OperatorReply.json(exchange, metrics.json(service -> owns(partner, service)));
+      OperatorResponse.json(exchange, metrics.json(service -> owns(partner, service)));
     }
   }
 
@@ -131,8 +131,8 @@
   }
 
   /**
-   * An instance may serve both partners, and draining it takes capacity from both; so the right to
-   * drain is given by the instance's settings and not by the role alone.
+   * Starts a drain. An instance may serve both partners, and draining it takes capacity from both;
+   * the right to drain is therefore granted in the instance's settings and not by the role alone.
    */
   private void drain(HttpServerExchange exchange, Identity.Operator operator) {
     if (!operator.mayDrain()) {
@@ -141,19 +141,19 @@
     }
     EventLog.log(EventType.DRAIN_ORDERED, "operator", operator.id());
     host.drain();
-    OperatorReply.json(exchange, "{\"leaving\":true}");
+    OperatorResponse.json(exchange, "{\"leaving\":true}");
   }
 
-  static void whenDone(HttpServerExchange exchange, CompletableFuture<String> json) {
+  static void respondWhenDone(HttpServerExchange exchange, CompletableFuture<String> json) {
     exchange.dispatch(
         io.undertow.util.SameThreadExecutor.INSTANCE,
         () ->
             json.whenComplete(
                 (body, thrown) -> {
                   if (thrown == null) {
-                    OperatorReply.json(exchange, body);
+                    OperatorResponse.json(exchange, body);
                   } else {
-                    OperatorReply.failure(exchange, thrown);
+                    OperatorResponse.failure(exchange, thrown);
                   }
                 }));
   }
--- a/runtime/src/main/java/org/hornbeamusher/operator/OperatorHost.java
+++ b/runtime/src/main/java/org/hornbeamusher/operator/OperatorHost.java
@@ -6,13 +6,13 @@
 import org.hornbeamusher.ids.ServiceName;
 import org.hornbeamusher.status.ProcessStatus;
 
-/** What the operators' interface needs of the process it belongs to. */
+/** What the operators' API needs from its process. */
 public interface OperatorHost {
 
   /**
-   * Returns where documents are kept.
+   * Returns the store of service documents.
    *
-   * @return the store, or empty in a process that takes no submissions
+   * @return the store, or empty in a process that accepts no submissions
    */
   Optional<DocumentStore> documents();
 
@@ -20,17 +20,19 @@
    * Finds the partner that a service belongs to.
    *
    * @param service the service
-   * @return its partner, or empty when no document of it is held
+   * @return its partner, or empty when this process has no document of it
    */
   Optional<PartnerId> owner(ServiceName service);
 
   /**
-   * Describes the process as it is now, for every partner.
+   * Returns the current status of the process, with the data of every partner.
    *
-   * @return the status; the interface removes what a reader may not see
+   * @return the status; the API removes what an operator may not see
    */
   ProcessStatus status();
 
-  /** Makes the process leave: no new work, and an end when the last request has ended. */
+  /**
+   * Starts a drain: the process accepts no new requests and exits when the last request has ended.
+   */
   void drain();
 }
--- a/runtime/src/main/java/org/hornbeamusher/operator/OperatorReply.java
+++ b/runtime/src/main/java/org/hornbeamusher/operator/OperatorResponse.java
@@ -9,13 +9,14 @@
 import org.hornbeamusher.toml.Problem;
 import org.hornbeamusher.toml.Problems;
 
-/** Writes answers to operators. */
-final class OperatorReply {
+/** Writes responses to operators. */
+final class OperatorResponse {
 
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final String POLICY = "default-src 'none'; style-src 'unsafe-inline'";
+  private static final String CONTENT_SECURITY_POLICY =
+      "default-src 'none'; style-src 'unsafe-inline'";
 
-  private OperatorReply() {}
+  private OperatorResponse() {}
 
   static void json(HttpServerExchange exchange, String json) {
     send(exchange, "application/json", json);
@@ -25,9 +26,9 @@
     send(exchange, "text/plain; charset=utf-8", text);
   }
 
-  /** The page has no script; the policy keeps it so even if a name were to carry one. */
+  /** The page has no script; the policy blocks scripts even if a name contained one. */
   static void html(HttpServerExchange exchange, String page) {
-    exchange.getResponseHeaders().put(Headers.CONTENT_SECURITY_POLICY, POLICY);
+    exchange.getResponseHeaders().put(Headers.CONTENT_SECURITY_POLICY, CONTENT_SECURITY_POLICY);
     send(exchange, "text/html; charset=utf-8", page);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/operator/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/operator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' HTTP interface: service documents, their history, status, metrics and drain. Every
- * answer is confined to the partner that the operator's token stands for.
+ * The operators' HTTP API: service documents, their history, status, metrics and drain. Every
+ * response is limited to the partner that the operator's token belongs to.
  */
 package org.hornbeamusher.operator;
--- a/runtime/src/test/java/org/hornbeamusher/operator/OperatorApiTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/operator/OperatorApiTest.java
@@ -122,17 +122,17 @@
         .join();
   }
 
-  private static String text(HttpReply reply) {
-    return new String(reply.body(), StandardCharsets.UTF_8);
+  private static String text(HttpReply response) {
+    return new String(response.body(), StandardCharsets.UTF_8);
   }
 
-  private static JsonNode json(HttpReply reply) throws Exception {
-    return new ObjectMapper().readTree(text(reply));
+  private static JsonNode json(HttpReply response) throws Exception {
+    return new ObjectMapper().readTree(text(response));
   }
 
-  private static void assertRefused(FailureType type, HttpReply reply) throws Exception {
-    assertEquals(type.label(), json(reply).at("/error/type").asText(), text(reply));
-    assertEquals(type.httpStatus(), reply.status());
+  private static void assertRefused(FailureType type, HttpReply response) throws Exception {
+    assertEquals(type.label(), json(response).at("/error/type").asText(), text(response));
+    assertEquals(type.httpStatus(), response.status());
   }
 
   private static String document(int concurrency) {
@@ -156,8 +156,8 @@
   }
 
   /**
-   * Two operators of one team edit the same version. The second one must learn of the first one's
-   * change instead of undoing it.
+   * Two operators of one team edit the same version; the second one must get a conflict instead of
+   * overwriting the first one's change.
    */
   @Test
   void staleBaseIsConflict() throws Exception {
@@ -167,8 +167,8 @@
   }
 
   /**
-   * Another team tries to change a document, once of the same partner and once of the other. The
-   * document stays, and its owner finds both attempts in the trail.
+   * Other teams, one of the same partner and one of the other partner, try to change a document. It
+   * must remain unchanged, and its owner must find their attempts in the audit trail.
    */
   @Test
   void otherTeamsAreRefusedAndTheirAttemptsAreKeptForTheOwner() throws Exception {
@@ -187,7 +187,7 @@
     assertEquals(Set.of("dispatch-models", "trade-desk"), teams);
   }
 
-  /** The other partner's operator reads everything there is; nothing of Zarqa's may show. */
+  /** The other partner's operator reads every path; no data of partner Zarqa may be visible. */
   @Test
   void otherPartnerReadsNothing() throws Exception {
     submit("haulage", 0, document(8));
@@ -216,9 +216,12 @@
     assertEquals(0, seen.at("/quarantined").size());
   }
 
-  /** A token that leaked from a sales desk opens nothing here; neither does no token at all. */
+  /**
+   * A leaked caller token must not give access to any path, and neither must a missing or unknown
+   * token.
+   */
   @Test
-  void callersAndStrangersAreRefusedEverywhere() throws Exception {
+  void callersAndUnknownTokensAreRejectedEverywhere() throws Exception {
     for (String path :
         List.of("/status", "/metrics", "/operator/documents/haul-api", "/operator/history/x")) {
       assertRefused(FailureType.FORBIDDEN, call("desk", "GET", path, ""));
@@ -228,9 +231,9 @@
     assertRefused(FailureType.FORBIDDEN, call("desk", "POST", "/operator/drain", ""));
   }
 
-  /** Draining takes capacity from both partners, so being an operator is not enough. */
+  /** Draining takes capacity from both partners, so the operator role alone must not permit it. */
   @Test
-  void onlyOperatorsWhoMayDrainDrain() throws Exception {
+  void drainNeedsTheRightToDrain() throws Exception {
     assertRefused(FailureType.FORBIDDEN, call("trade", "POST", "/operator/drain", ""));
     assertEquals(0, drains.get());
     assertEquals(200, call("haulage", "POST", "/operator/drain", "").status());
@@ -238,7 +241,7 @@
   }
 
   @Test
-  void badInputIsTyped() throws Exception {
+  void invalidInputReturnsTypedFailure() throws Exception {
     assertRefused(
         FailureType.MALFORMED_REQUEST,
         call("haulage", "POST", "/operator/documents/haul-api?base=-1", document(8)));
@@ -253,9 +256,12 @@
         FailureType.DOCUMENT_UNKNOWN, call("haulage", "GET", "/operator/documents/none", ""));
   }
 
-  /** The table is down: the operator is told so, and the process goes on serving. */
+  /**
+   * While the table is unavailable, the operator gets a typed failure and the process continues to
+   * serve.
+   */
   @Test
-  void tableDownIsTyped() throws Exception {
+  void unavailableTableReturnsTypedFailure() throws Exception {
     table.down(true);
     assertRefused(FailureType.PLATFORM_UNAVAILABLE, submit("haulage", 0, document(8)));
     assertEquals(200, call("haulage", "GET", "/status", "").status());
