--- a/runtime/src/main/java/org/hornbeamusher/security/Identity.java
+++ b/runtime/src/main/java/org/hornbeamusher/security/Identity.java
@@ -8,15 +8,15 @@
 import org.hornbeamusher.ids.ServiceName;
 import org.hornbeamusher.ids.TeamId;
 
-/** Whom a token or a certificate stands for, and with that the role. */
+/** The identity that a token or a certificate belongs to; its type is the role. */
 public sealed interface Identity {
 
   /**
-   * Sends requests to services of its own partner.
+   * A caller: sends requests to services of its own partner.
    *
    * @param id the caller
    * @param partner the partner it belongs to
-   * @param services what it may call; empty means every service of its partner
+   * @param services the services it may call; empty means every service of its partner
    */
   record Caller(CallerId id, PartnerId partner, Set<ServiceName> services) implements Identity {
 
@@ -38,12 +38,12 @@
   }
 
   /**
-   * Changes documents of its own team and reads those of its own partner.
+   * An operator: changes documents of its own team and reads those of its own partner.
    *
    * @param id the operator
    * @param partner the partner it belongs to
    * @param team the team it belongs to
-   * @param mayDrain whether it may make the process that knows the token leave
+   * @param mayDrain whether it may drain the process whose settings contain the token
    */
   record Operator(OperatorId id, PartnerId partner, TeamId team, boolean mayDrain)
       implements Identity {}
--- a/runtime/src/main/java/org/hornbeamusher/security/InvalidTokenHashException.java
+++ b/runtime/src/main/java/org/hornbeamusher/security/InvalidTokenHashException.java
@@ -1,6 +1,6 @@
 package org.hornbeamusher.security;
 
-/** A text that is not a token hash; the text itself is kept out of the message. */
+/** Thrown for a text that is not a token hash; the message does not contain the text. */
 public final class InvalidTokenHashException extends IllegalArgumentException {
 
   private static final long serialVersionUID = 1L;
--- a/runtime/src/main/java/org/hornbeamusher/security/PemFiles.java
+++ b/runtime/src/main/java/org/hornbeamusher/security/PemFiles.java
@@ -22,11 +22,11 @@
 import java.util.Optional;
 
 /**
- * The texts of the PEM files as they were read together; equal texts need no new keys.
+ * The contents of the PEM files from one read; equal contents need no new keys.
  *
- * @param certificate own certificate, then those that lead to a trusted one
+ * @param certificate own certificate, followed by the chain to a trusted one
  * @param key own private key
- * @param trusted who may sign a peer's certificate
+ * @param trusted the certificates that may sign a peer's certificate
  */
 record PemFiles(String certificate, String key, Optional<String> trusted) {
 
@@ -58,10 +58,10 @@
   }
 
   /**
-   * Refuses a key that is not the certificate's. Handshakes would fail with it, and nothing before
-   * the first of them would tell.
+   * Rejects a private key that does not belong to the certificate. Handshakes would fail with it,
+   * and nothing before the first handshake would show that.
    */
-  void requireFit() throws GeneralSecurityException {
+  void requireMatchingKey() throws GeneralSecurityException {
     PrivateKey own = privateKey();
     Signature signature = Signature.getInstance(SIGNATURES.get(own.getAlgorithm()));
     signature.initSign(own);
@@ -85,7 +85,7 @@
       try {
         return KeyFactory.getInstance(algorithm).generatePrivate(new PKCS8EncodedKeySpec(encoded));
       } catch (InvalidKeySpecException e) {
-        // The key is of another algorithm; the next one is tried, and the last failure is thrown.
+        // The key uses another algorithm; the next one is tried.
         continue;
       }
     }
@@ -98,7 +98,7 @@
         .generateCertificates(new ByteArrayInputStream(pem.getBytes(StandardCharsets.US_ASCII)));
   }
 
-  /** Shows nothing of the private key. */
+  /** Does not reveal the private key. */
   @Override
   public String toString() {
     return "PemFiles";
--- a/runtime/src/main/java/org/hornbeamusher/security/SwitchingKeyManager.java
+++ b/runtime/src/main/java/org/hornbeamusher/security/ReloadableKeyManager.java
@@ -7,52 +7,52 @@
 import javax.net.ssl.SSLEngine;
 import javax.net.ssl.X509ExtendedKeyManager;
 
-/** Passes every call on to the key manager in force. */
-final class SwitchingKeyManager extends X509ExtendedKeyManager {
+/** Delegates every call to the current key manager, which can be replaced. */
+final class ReloadableKeyManager extends X509ExtendedKeyManager {
 
-  private volatile X509ExtendedKeyManager inForce;
+  private volatile X509ExtendedKeyManager delegate;
 
-  void use(X509ExtendedKeyManager manager) {
-    inForce = manager;
+  void setDelegate(X509ExtendedKeyManager manager) {
+    delegate = manager;
   }
 
   @Override
   public String[] getClientAliases(String keyType, Principal[] issuers) {
-    return inForce.getClientAliases(keyType, issuers);
+    return delegate.getClientAliases(keyType, issuers);
   }
 
   @Override
   public String chooseClientAlias(String[] keyType, Principal[] issuers, Socket socket) {
-    return inForce.chooseClientAlias(keyType, issuers, socket);
+    return delegate.chooseClientAlias(keyType, issuers, socket);
   }
 
   @Override
   public String chooseEngineClientAlias(String[] keyType, Principal[] issuers, SSLEngine engine) {
-    return inForce.chooseEngineClientAlias(keyType, issuers, engine);
+    return delegate.chooseEngineClientAlias(keyType, issuers, engine);
   }
 
   @Override
   public String[] getServerAliases(String keyType, Principal[] issuers) {
-    return inForce.getServerAliases(keyType, issuers);
+    return delegate.getServerAliases(keyType, issuers);
   }
 
   @Override
   public String chooseServerAlias(String keyType, Principal[] issuers, Socket socket) {
-    return inForce.chooseServerAlias(keyType, issuers, socket);
+    return delegate.chooseServerAlias(keyType, issuers, socket);
   }
 
   @Override
   public String chooseEngineServerAlias(String keyType, Principal[] issuers, SSLEngine engine) {
-    return inForce.chooseEngineServerAlias(keyType, issuers, engine);
+    return delegate.chooseEngineServerAlias(keyType, issuers, engine);
   }
 
   @Override
   public X509Certificate[] getCertificateChain(String alias) {
-    return inForce.getCertificateChain(alias);
+    return delegate.getCertificateChain(alias);
   }
 
   @Override
   public PrivateKey getPrivateKey(String alias) {
-    return inForce.getPrivateKey(alias);
+    return delegate.getPrivateKey(alias);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/security/SwitchingTrustManager.java
+++ b/runtime/src/main/java/org/hornbeamusher/security/ReloadableTrustManager.java
@@ -6,53 +6,53 @@
 import javax.net.ssl.SSLEngine;
 import javax.net.ssl.X509ExtendedTrustManager;
 
-/** Passes every call on to the trust manager in force. */
-final class SwitchingTrustManager extends X509ExtendedTrustManager {
+/** Delegates every call to the current trust manager, which can be replaced. */
+final class ReloadableTrustManager extends X509ExtendedTrustManager {
 
-  private volatile X509ExtendedTrustManager inForce;
+  private volatile X509ExtendedTrustManager delegate;
 
-  void use(X509ExtendedTrustManager manager) {
-    inForce = manager;
+  void setDelegate(X509ExtendedTrustManager manager) {
+    delegate = manager;
   }
 
   @Override
   public void checkClientTrusted(X509Certificate[] chain, String authType, Socket socket)
       throws CertificateException {
-    inForce.checkClientTrusted(chain, authType, socket);
+    delegate.checkClientTrusted(chain, authType, socket);
   }
 
   @Override
   public void checkClientTrusted(X509Certificate[] chain, String authType, SSLEngine engine)
       throws CertificateException {
-    inForce.checkClientTrusted(chain, authType, engine);
+    delegate.checkClientTrusted(chain, authType, engine);
   }
 
   @Override
   public void checkClientTrusted(X509Certificate[] chain, String authType)
       throws CertificateException {
-    inForce.checkClientTrusted(chain, authType);
+    delegate.checkClientTrusted(chain, authType);
   }
 
   @Override
   public void checkServerTrusted(X509Certificate[] chain, String authType, Socket socket)
       throws CertificateException {
-    inForce.checkServerTrusted(chain, authType, socket);
+    delegate.checkServerTrusted(chain, authType, socket);
   }
 
   @Override
   public void checkServerTrusted(X509Certificate[] chain, String authType, SSLEngine engine)
       throws CertificateException {
-    inForce.checkServerTrusted(chain, authType, engine);
+    delegate.checkServerTrusted(chain, authType, engine);
   }
 
   @Override
   public void checkServerTrusted(X509Certificate[] chain, String authType)
       throws CertificateException {
-    inForce.checkServerTrusted(chain, authType);
+    delegate.checkServerTrusted(chain, authType);
   }
 
   @Override
   public X509Certificate[] getAcceptedIssuers() {
-    return inForce.getAcceptedIssuers();
+    return delegate.getAcceptedIssuers();
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/security/ReloadingTlsContext.java
+++ b/runtime/src/main/java/org/hornbeamusher/security/ReloadingTlsContext.java
@@ -23,22 +23,25 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 
 /**
- * A TLS context whose keys and trusted certificates are read again while the process runs.
+ * A TLS context that reloads its keys and trusted certificates while the process runs.
  *
- * <p>Certificates between processes are short-lived, and a process that had to restart for each new
- * one would cut off its callers. There is one {@link SSLContext} for the life of the process, whose
- * managers pass each call on to the keys in force. Making a new context for each change would not
- * do: a listening socket keeps the context that it was made with.
+ * <p>Certificates between processes are short-lived, and a restart for each new one would
+ * disconnect callers. There is one {@link SSLContext} for the lifetime of the process, whose
+ * managers delegate each call to the current keys. A new context for each change would not work: a
+ * listening socket keeps the context with which it was created.
  *
- * <p>Files that cannot be read, or that do not fit each other (a key that was replaced before its
- * certificate), change nothing: the old keys stay in force, an event is logged, and the next round
- * tries again. Sessions are forgotten at each change. A ticket that a peer still holds may resume
- * what was agreed under the old keys for {@link #RESUMPTION_SECONDS} at most; connections that are
- * open stay open.
+ * <p>Files that cannot be read, or that do not match each other (a key that was replaced before its
+ * certificate), change nothing: the old keys remain in use, an event is logged, and the next reload
+ * tries again. Each change invalidates the cached sessions. A ticket that a peer still has may
+ * resume a session of the old keys for at most {@link #RESUMPTION_SECONDS}; open connections stay
+ * open.
  */
 public final class ReloadingTlsContext {
 
-  /** Bounds how long a certificate that is no longer trusted can resume a session. */
+  /**
+   * Greatest time, in seconds, for which a certificate that is no longer trusted can resume a
+   * session.
+   */
   static final int RESUMPTION_SECONDS = 60;
 
   private static final char[] NO_PASSWORD = new char[0];
@@ -47,13 +50,13 @@
   private final Path certificate;
   private final Path key;
   private final Optional<Path> trusted;
-  private final SwitchingKeyManager keys = new SwitchingKeyManager();
-  private final SwitchingTrustManager trust = new SwitchingTrustManager();
+  private final ReloadableKeyManager keys = new ReloadableKeyManager();
+  private final ReloadableTrustManager trust = new ReloadableTrustManager();
   private final SSLContext context;
   private final ScheduledExecutorService timer =
       Executors.newSingleThreadScheduledExecutor(
           Thread.ofPlatform().daemon().name("tls-reload").factory());
-  private PemFiles inForce;
+  private PemFiles currentFiles;
 
   private ReloadingTlsContext(Path certificate, Path key, Optional<Path> trusted) {
     this.certificate = certificate;
@@ -70,12 +73,13 @@
   }
 
   /**
-   * Reads the files for the first time.
+   * Creates a context and reads the files for the first time.
    *
    * @param certificate PEM, own certificate first
    * @param key PEM, PKCS #8, not encrypted
-   * @param trusted PEM, who may sign a peer's certificate; empty for the platform's usual ones
-   * @return a context in force
+   * @param trusted PEM, the certificates that may sign a peer's certificate; empty for the default
+   *     ones of the JVM
+   * @return a context that is ready for use
    * @throws HornbeamusherException {@code SETTINGS_INVALID} when a file cannot be used
    */
   public static ReloadingTlsContext open(Path certificate, Path key, Optional<Path> trusted) {
@@ -91,7 +95,7 @@
   }
 
   /**
-   * Returns the context; it is the same object for the life of the process.
+   * Returns the context; it is the same object for the lifetime of the process.
    *
    * @return a context for sockets and listeners
    */
@@ -100,24 +104,24 @@
   }
 
   /**
-   * Starts reading the files again and again.
+   * Starts reloading the files periodically.
    *
-   * @param intervalMillis how often
+   * @param intervalMillis the delay between two reloads
    */
   public void start(long intervalMillis) {
     timer.scheduleWithFixedDelay(
         this::reload, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
   }
 
-  /** Stops reading the files. */
+  /** Stops the periodic reload. */
   public void stop() {
     timer.shutdownNow();
   }
 
   /**
-   * Reads the files now.
+   * Reloads the files now.
    *
-   * @return whether other keys or certificates are in force than before
+   * @return whether the keys or certificates have changed
    */
   public synchronized boolean reload() {
     try {
@@ -134,24 +138,25 @@
 
   private synchronized boolean load() throws GeneralSecurityException, java.io.IOException {
     PemFiles read = PemFiles.read(certificate, key, trusted);
-    if (read.equals(inForce)) {
+    if (read.equals(currentFiles)) {
       return false;
     }
-    read.requireFit();
+    read.requireMatchingKey();
     X509ExtendedKeyManager newKeys = keyManager(read);
     X509ExtendedTrustManager newTrust = trustManager(read);
-    keys.use(newKeys);
-    trust.use(newTrust);
-    inForce = read;
-    forget(context.getClientSessionContext());
-    forget(context.getServerSessionContext());
+    keys.setDelegate(newKeys);
+    trust.setDelegate(newTrust);
+    currentFiles = read;
+    invalidateAll(context.getClientSessionContext());
+    invalidateAll(context.getServerSessionContext());
     return true;
   }
 
   /**
-   * A session that is resumed shows the certificate it began with, so new keys would stay unused.
+   * Invalidates all sessions. A resumed session presents the certificate it began with, so new keys
+   * would remain unused.
    */
-  private static void forget(SSLSessionContext sessions) {
+  private static void invalidateAll(SSLSessionContext sessions) {
     for (byte[] id : Collections.list(sessions.getIds())) {
       SSLSession session = sessions.getSession(id);
       if (session != null) {
--- a/runtime/src/main/java/org/hornbeamusher/security/TokenDirectory.java
+++ b/runtime/src/main/java/org/hornbeamusher/security/TokenDirectory.java
@@ -6,11 +6,11 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 
 /**
- * Finds out whom a bearer token stands for.
+ * Looks up the identity that a bearer token belongs to.
  *
- * <p>Every entry is compared, also after a match, each in constant time: neither the position of a
- * token in the settings nor a shared beginning of two hashes shows in the time of an answer. With
- * 1,000 entries that is 32 kB of comparison a request. Safe for use by several threads at once.
+ * <p>Every entry is compared, even after a match, and each in constant time: the response time
+ * reveals neither the position of a token in the settings nor a common prefix of two hashes. With
+ * 1,000 entries, 32 kB are compared per request. Thread-safe.
  */
 public final class TokenDirectory {
 
@@ -21,7 +21,7 @@
   /**
    * Creates a directory.
    *
-   * @param entries every token that is known
+   * @param entries all known tokens
    */
   public TokenDirectory(List<Entry> entries) {
     this.entries = List.copyOf(entries);
@@ -31,7 +31,7 @@
    * One token.
    *
    * @param hash its hash
-   * @param identity whom it stands for
+   * @param identity the identity it belongs to
    */
   public record Entry(TokenHash hash, Identity identity) {}
 
@@ -39,7 +39,7 @@
    * Finds the identity of a request.
    *
    * @param authorization the value of its {@code Authorization} header; null when there is none
-   * @return the identity, or empty when the header is absent, malformed or not known
+   * @return the identity, or empty when the header is absent or malformed or its token is unknown
    */
   public Optional<Identity> find(String authorization) {
     if (authorization == null
@@ -57,7 +57,7 @@
   }
 
   /**
-   * Requires a caller.
+   * Returns the caller that sent a request; fails for any other identity.
    *
    * @param authorization as in {@link #find}
    * @return the caller
@@ -65,7 +65,7 @@
    *     for a token of another role
    */
   public Identity.Caller caller(String authorization) {
-    return switch (require(authorization)) {
+    return switch (requireIdentity(authorization)) {
       case Identity.Caller caller -> caller;
       case Identity.Operator operator -> throw forbidden("requests");
       case Identity.Instance instance -> throw forbidden("requests");
@@ -73,21 +73,21 @@
   }
 
   /**
-   * Requires an operator.
+   * Returns the operator that sent a request; fails for any other identity.
    *
    * @param authorization as in {@link #find}
    * @return the operator
    * @throws HornbeamusherException as in {@link #caller}
    */
   public Identity.Operator operator(String authorization) {
-    return switch (require(authorization)) {
+    return switch (requireIdentity(authorization)) {
       case Identity.Operator operator -> operator;
       case Identity.Caller caller -> throw forbidden("the operators' interface");
       case Identity.Instance instance -> throw forbidden("the operators' interface");
     };
   }
 
-  private Identity require(String authorization) {
+  private Identity requireIdentity(String authorization) {
     return find(authorization)
         .orElseThrow(() -> HornbeamusherException.notRun(FailureType.UNAUTHENTICATED));
   }
--- a/runtime/src/main/java/org/hornbeamusher/security/TokenHash.java
+++ b/runtime/src/main/java/org/hornbeamusher/security/TokenHash.java
@@ -11,12 +11,12 @@
 /**
  * The SHA-256 hash of a bearer token.
  *
- * <p>A plain hash without salt is enough because tokens are random and long (settings refuse
- * shorter ones), so that no list of likely tokens can be tried against the hashes.
+ * <p>A hash without salt is sufficient because tokens are random and long (settings reject shorter
+ * ones), so that a dictionary attack on the hashes is not feasible.
  */
 public final class TokenHash {
 
-  /** The shortest token: 128 random bits in base64 without padding. */
+  /** Length of the shortest token, in characters: 128 random bits in base64 without padding. */
   public static final int MINIMUM_TOKEN_LENGTH = 22;
 
   private static final String ALGORITHM = "SHA-256";
@@ -44,11 +44,12 @@
   }
 
   /**
-   * Reads the written form.
+   * Parses the text form.
    *
    * @param hex 64 hexadecimal digits
    * @return the hash
-   * @throws InvalidTokenHashException when the text has another form; it is not part of the message
+   * @throws InvalidTokenHashException when the text has another form; the message does not contain
+   *     the text
    */
   public static TokenHash parse(String hex) {
     try {
@@ -63,8 +64,8 @@
   }
 
   /**
-   * Compares in a time that does not depend on where the hashes differ, so that an attacker who
-   * measures answers learns nothing about a stored hash.
+   * Compares in constant time, wherever the hashes differ, so that an attacker who measures
+   * response times learns nothing about a stored hash.
    *
    * @param other another hash
    * @return whether both are of the same token
@@ -74,7 +75,7 @@
   }
 
   /**
-   * Returns the written form.
+   * Returns the text form.
    *
    * @return 64 hexadecimal digits
    */
@@ -92,7 +93,7 @@
     return Arrays.hashCode(digest);
   }
 
-  /** Shows nothing of the hash, which has no place in a log. */
+  /** Does not reveal the hash, which must not appear in logs. */
   @Override
   public String toString() {
     return "TokenHash";
--- a/runtime/src/test/java/org/hornbeamusher/security/ReloadingTlsContextTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/security/ReloadingTlsContextTest.java
@@ -86,7 +86,7 @@
       socket.startHandshake();
       socket.getInputStream().read();
     } catch (IOException e) {
-      // The server's verdict is what counts; it is returned or thrown below.
+      // Only the server's result matters; it is returned or thrown by the join.
       return seen.join();
     }
     return seen.join();
@@ -104,11 +104,12 @@
   }
 
   /**
-   * An operator replaces the files of a running process. Were the old keys kept until a restart, a
-   * certificate that runs out at night would cut the process off from all its peers.
+   * An operator replaces the files of a running process. Guards against the old keys being used
+   * until a restart: a certificate that expires at night would disconnect the process from all its
+   * peers.
    */
   @Test
-  void replacedKeysAreShownByNewConnectionsWithoutRestart() throws Exception {
+  void newConnectionsPresentReplacedKeysWithoutRestart() throws Exception {
     ReloadingTlsContext client = own();
     try (SSLServerSocket server = listen(peer("marka-entry-2"))) {
       assertEquals("CN=marka-entry-1", subjectSeen(server, client));
@@ -119,9 +120,12 @@
     }
   }
 
-  /** A listening socket was made before the change; its next handshakes must use the new trust. */
+  /**
+   * A listening socket was created before the change; its next handshakes must use the new trusted
+   * certificates.
+   */
   @Test
-  void listeningSocketFollowsNewTrust() throws Exception {
+  void listeningSocketUsesNewTrust() throws Exception {
     Path trusted = directory.resolve("trusted.pem");
     copy("ca.pem", "trusted.pem");
     ReloadingTlsContext context =
@@ -137,11 +141,11 @@
   }
 
   /**
-   * A process that is no part of the system dials an agent. Were it let in, it could order any
-   * partner's requests and read the answers.
+   * Guards against a process outside the system being accepted by an agent: it could send requests
+   * of any partner and read the responses.
    */
   @Test
-  void strangerIsRefused() throws Exception {
+  void untrustedPeerIsRejected() throws Exception {
     try (SSLServerSocket server = listen(own())) {
       ReloadingTlsContext stranger = peer("stranger");
       assertThrows(CompletionException.class, () -> subjectSeen(server, stranger));
@@ -149,11 +153,11 @@
   }
 
   /**
-   * The files are replaced one after the other, and the process looks in between: the new key does
-   * not fit the old certificate. It must go on with what it has.
+   * The files are replaced one after the other, and the process reloads them in between: the new
+   * key does not match the old certificate. It must continue with the keys it has.
    */
   @Test
-  void halfReplacedFilesLeaveOldKeysInForce() throws Exception {
+  void partlyReplacedFilesKeepOldKeysInUse() throws Exception {
     ReloadingTlsContext client = own();
     copy("marka-entry-2-key.pem", "own-key.pem");
     assertFalse(client.reload());
@@ -165,7 +169,7 @@
   }
 
   @Test
-  void unusableFilesAreTypedAtStart() throws Exception {
+  void unusableFilesCauseTypedFailureAtStart() throws Exception {
     Files.writeString(directory.resolve("own.pem"), "nothing");
     HornbeamusherException failure = assertThrows(HornbeamusherException.class, this::own);
     assertEquals(FailureType.SETTINGS_INVALID, failure.type());
--- a/runtime/src/test/java/org/hornbeamusher/security/TokenDirectoryTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/security/TokenDirectoryTest.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * A caller's token must not open the operators' interface, nor the reverse: a token that leaks
-   * from a sales desk would otherwise change documents.
+   * A caller's token must not give access to the operators' API, nor the reverse: otherwise a
+   * leaked caller token could change documents.
    */
   @Test
   void tokenOfAnotherRoleIsForbidden() {
@@ -60,14 +60,14 @@
   }
 
   @Test
-  void hashIsReadBackAndNeverShown() {
+  void hashRoundTripsAndIsNeverPrinted() {
     TokenHash hash = TokenHash.ofToken("caller-token");
     assertEquals(hash, TokenHash.parse(hash.hex()));
     assertFalse(hash.toString().contains(hash.hex().substring(0, 8)));
   }
 
   @Property(seed = "20341202", tries = 300)
-  void arbitraryHeadersFindNobody(@ForAll String header) {
+  void arbitraryHeadersMatchNoToken(@ForAll String header) {
     assertEquals(Optional.empty(), directory.find(header));
     assertEquals(Optional.empty(), directory.find("Bearer " + header));
   }
