--- a/runtime/src/main/java/org/hornbeamusher/entry/CallerApi.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/CallerApi.java
@@ -82,7 +82,7 @@
   private final ExecutorService executor;
   private final Clock clock;
   private final int bodyBytes;
-  private final long writeTimeoutMillis;
+  private final long stallTimeoutMillis;
 
   CallerApi(
       Host host,
@@ -91,7 +91,7 @@
       ExecutorService executor,
       Clock clock,
       int bodyBytes,
-      long writeTimeoutMillis) {
+      long stallTimeoutMillis) {
     this.host = host;
     this.tokens = tokens;
     this.runner = runner;
@@ -99,7 +99,7 @@
     this.executor = executor;
     this.clock = clock;
     this.bodyBytes = bodyBytes;
-    this.writeTimeoutMillis = writeTimeoutMillis;
+    this.stallTimeoutMillis = stallTimeoutMillis;
   }
 
   @Override
@@ -115,7 +115,7 @@
   private void serve(HttpServerExchange exchange, byte[] body) {
     RequestId id = ids.next();
     exchange.getResponseHeaders().put(CallerHeaders.REQUEST_ID, id.value());
-    CallerSink sink = new CallerSink(exchange, writeTimeoutMillis);
+    CallerSink sink = new CallerSink(exchange, stallTimeoutMillis);
     int inFlight = host.adjustInFlight(1);
     try {
       if (inFlight > host.maxInFlight()) {
@@ -144,7 +144,7 @@
         e instanceof Receiver.RequestToLargeException || e instanceof RequestTooBigException
             ? HornbeamusherException.notRun(FailureType.BODY_TOO_LARGE, bodyBytes)
             : HornbeamusherException.notRun(FailureType.SLOW_CALLER).causedBy(e);
-    writeFailure(exchange, new CallerSink(exchange, writeTimeoutMillis), id, failure);
+    writeFailure(exchange, new CallerSink(exchange, stallTimeoutMillis), id, failure);
   }
 
   private void route(HttpServerExchange exchange, byte[] body, RequestId id, CallerSink sink)
--- a/runtime/src/main/java/org/hornbeamusher/entry/CallerSink.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/CallerSink.java
@@ -19,12 +19,12 @@
  *
  * <p>Undertow's blocking streams wait in a selector, which blocks a platform thread for each slow
  * reader. Here the virtual thread waits for the channel's listener instead, and the connection of a
- * caller that reads nothing within the write timeout is closed.
+ * caller that reads nothing within the stall timeout is closed.
  */
 final class CallerSink {
 
   private final HttpServerExchange exchange;
-  private final long writeTimeoutMillis;
+  private final long stallTimeoutMillis;
   private StreamSinkChannel channel;
 
   /** Set once the connection is closed by either side. */
@@ -33,9 +33,9 @@
   /** Completed when the channel is writable again or the connection is closed. */
   private volatile CompletableFuture<Void> writable = new CompletableFuture<>();
 
-  CallerSink(HttpServerExchange exchange, long writeTimeoutMillis) {
+  CallerSink(HttpServerExchange exchange, long stallTimeoutMillis) {
     this.exchange = exchange;
-    this.writeTimeoutMillis = writeTimeoutMillis;
+    this.stallTimeoutMillis = stallTimeoutMillis;
   }
 
   /** Writes bytes and returns once they are handed to the network. */
@@ -80,7 +80,7 @@
 
   /**
    * Wakes a waiting write. A channel no longer calls its write listener once its connection is
-   * lost; without this the request would wait for the full write timeout, and its endpoint would
+   * lost; without this the request would wait for the full stall timeout, and its endpoint would
    * meanwhile generate a response that nobody reads.
    */
   private void connectionClosed() {
@@ -108,7 +108,7 @@
             });
     channel.resumeWrites();
     try {
-      writable.get(writeTimeoutMillis, TimeUnit.MILLISECONDS);
+      writable.get(stallTimeoutMillis, TimeUnit.MILLISECONDS);
       if (closed) {
         throw callerGone(new ClosedChannelException());
       }
