--- a/runtime/src/main/java/org/hornbeamusher/entry/QuarantineLog.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/QuarantineRefusals.java
@@ -7,33 +7,33 @@
 import org.hornbeamusher.status.ProcessStatus;
 
 /**
- * Remembers the quarantined requests that were sent to this entry, for its status. Bounded, because
- * a caller may send any number of them: the one that was refused least recently is forgotten.
+ * The quarantined requests that this entry refused recently, shown in its status. Bounded, because
+ * a caller may send any number of them: the least recently refused one is evicted.
  */
-final class QuarantineLog {
+final class QuarantineRefusals {
 
-  private static final int MOST = 100;
+  private static final int MAX_ENTRIES = 100;
 
-  private record Refused(ServiceName service, long untilMillis) {}
+  private record Refusal(ServiceName service, long untilMillis) {}
 
-  private final Map<Long, Refused> refused =
+  private final Map<Long, Refusal> refusals =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Long, Refused> eldest) {
-          return size() > MOST;
+        protected boolean removeEldestEntry(Map.Entry<Long, Refusal> eldest) {
+          return size() > MAX_ENTRIES;
         }
       };
 
-  synchronized void refused(ServiceName service, long fingerprint, long untilMillis) {
-    refused.put(fingerprint, new Refused(service, untilMillis));
+  synchronized void record(ServiceName service, long fingerprint, long untilMillis) {
+    refusals.put(fingerprint, new Refusal(service, untilMillis));
   }
 
-  /** Returns those that are still refused. */
+  /** Returns those that are still in quarantine and removes the others. */
   synchronized List<ProcessStatus.QuarantinedRequest> status(long now) {
-    refused.values().removeIf(entry -> entry.untilMillis() <= now);
-    return refused.entrySet().stream()
+    refusals.values().removeIf(entry -> entry.untilMillis() <= now);
+    return refusals.entrySet().stream()
         .map(
             entry ->
                 new ProcessStatus.QuarantinedRequest(
--- a/runtime/src/main/java/org/hornbeamusher/entry/AnswerReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/ResponseReader.java
@@ -18,14 +18,15 @@
 import org.hornbeamusher.wire.Message;
 
 /**
- * Reads the chunks of one attempt and checks that they are the whole answer of the right adapter.
+ * Decodes the chunks of one attempt and checks that they form the complete response of the
+ * requested adapter.
  *
- * <p>Three things are checked, each against a different fault. {@link ResponseAssembler} checks
- * what may happen between the processes: frames lost, doubled, late or damaged. The engine's own
- * end mark must have come: else the engine's stream was cut and closed cleanly. Every event must
- * name the adapter and version that was asked for: else the engine ran another one.
+ * <p>There are three checks, each for a different fault. {@link ResponseAssembler} detects faults
+ * between the processes: lost, duplicated, late or corrupted frames. A missing end mark shows that
+ * the engine's stream was truncated although it was closed cleanly. An event that names another
+ * adapter or version than the requested one shows that the engine ran the wrong adapter.
  */
-final class AnswerReader {
+final class ResponseReader {
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String END_MARK = "[DONE]";
@@ -33,22 +34,22 @@
   private final EndpointId endpoint;
   private final Optional<AdapterRef> adapter;
   private final ResponseAssembler assembler;
-  private final ServerSentEvents events = new ServerSentEvents();
+  private final ServerSentEventParser events = new ServerSentEventParser();
   private boolean endMarkSeen;
   private String finishReason = "";
   private int promptTokens;
   private int completionTokens;
 
-  AnswerReader(EndpointId endpoint, Optional<AdapterRef> adapter, long attempt) {
+  ResponseReader(EndpointId endpoint, Optional<AdapterRef> adapter, long attempt) {
     this.endpoint = endpoint;
     this.adapter = adapter;
     this.assembler = new ResponseAssembler(attempt, AttemptCall.INITIAL_CREDIT);
   }
 
-  List<AnswerPart> read(Message.Chunk chunk) {
+  List<ResponsePart> read(Message.Chunk chunk) {
     AssemblyResult delivery =
         assembler.partReceived(chunk.attempt(), chunk.sequence(), chunk.bytes());
-    List<AnswerPart> parts = new ArrayList<>();
+    List<ResponsePart> parts = new ArrayList<>();
     for (byte[] bytes : delivery.parts()) {
       readPart(bytes, parts);
     }
@@ -59,22 +60,22 @@
     assembler.closingReceived(closing.attempt(), closing.chunks(), closing.checksum());
   }
 
-  /** Returns the end once the answer is whole; empty while more frames may come. */
-  Optional<AnswerEnd> end() {
+  /** Returns the end metadata once the response is complete; empty while more frames may arrive. */
+  Optional<ResponseEnd> end() {
     return switch (assembler.state()) {
       case ResponseState.Open open -> Optional.empty();
-      case ResponseState.Complete whole when adapter.isEmpty() -> Optional.of(AnswerEnd.PLAIN);
+      case ResponseState.Complete whole when adapter.isEmpty() -> Optional.of(ResponseEnd.PLAIN);
       case ResponseState.Complete whole when endMarkSeen ->
-          Optional.of(new AnswerEnd(finishReason, promptTokens, completionTokens));
-      case ResponseState.Complete whole -> throw cut();
-      case ResponseState.Truncated cut -> throw cut();
-      case ResponseState.Mismatch mismatch -> throw cut();
+          Optional.of(new ResponseEnd(finishReason, promptTokens, completionTokens));
+      case ResponseState.Complete whole -> throw truncated();
+      case ResponseState.Truncated cut -> throw truncated();
+      case ResponseState.Mismatch mismatch -> throw truncated();
     };
   }
 
-  private void readPart(byte[] bytes, List<AnswerPart> parts) {
+  private void readPart(byte[] bytes, List<ResponsePart> parts) {
     if (adapter.isEmpty()) {
-      parts.add(new AnswerPart.Bytes(bytes));
+      parts.add(new ResponsePart.Bytes(bytes));
       return;
     }
     for (String data : events.feed(bytes)) {
@@ -82,7 +83,7 @@
     }
   }
 
-  private Optional<AnswerPart> readEvent(String data) {
+  private Optional<ResponsePart> readEvent(String data) {
     if (data.equals(END_MARK)) {
       endMarkSeen = true;
       return Optional.empty();
@@ -97,7 +98,7 @@
       completionTokens = event.path("usage").path("completion_tokens").asInt();
     }
     String text = choice.path("text").asText("");
-    return text.isEmpty() ? Optional.empty() : Optional.of(new AnswerPart.Token(text));
+    return text.isEmpty() ? Optional.empty() : Optional.of(new ResponsePart.Token(text));
   }
 
   private void checkAdapter(String ran) {
@@ -112,11 +113,11 @@
     try {
       return JSON.readTree(data);
     } catch (IOException e) {
-      throw cut().causedBy(e);
+      throw truncated().causedBy(e);
     }
   }
 
-  private HornbeamusherException cut() {
+  private HornbeamusherException truncated() {
     return HornbeamusherException.of(FailureType.ANSWER_CUT, Outcome.UNKNOWN, endpoint);
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/responses/ResponseAssemblerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/responses/ResponseAssemblerTest.java
@@ -19,7 +19,7 @@
 
   private static final long ATTEMPT = 7;
   private static final ResponseState OPEN = new ResponseState.Open();
-  private static final ResponseState WHOLE = new ResponseState.Complete();
+  private static final ResponseState COMPLETE = new ResponseState.Complete();
 
   private final ResponseAssembler assembler = new ResponseAssembler(ATTEMPT, 8);
   private final StringBuilder delivered = new StringBuilder();
@@ -33,17 +33,17 @@
     part(2, "c");
 
     assertEquals("abc", delivered.toString());
-    assertEquals(WHOLE, assembler.state());
+    assertEquals(COMPLETE, assembler.state());
   }
 
   @Test
-  void emptyAnswerIsWhole() {
-    assertEquals(WHOLE, closing(0, ""));
+  void emptyResponseIsComplete() {
+    assertEquals(COMPLETE, closing(0, ""));
   }
 
   /**
-   * A request was sent again after its first connection was lost, and a frame of the first try
-   * arrives late. It must not be mixed into the answer of the second.
+   * A request is retried after its connection was lost, and a frame of the first attempt arrives
+   * late; it must not be mixed into the response of the retry.
    */
   @Test
   void framesOfAnotherAttemptAreIgnored() {
@@ -55,16 +55,18 @@
     assertEquals("a", delivered.toString());
   }
 
-  /** The engine dies in the middle of a sentence that could have been the end. */
+  /** The engine crashes mid-stream, after text that reads like a complete response. */
   @Test
-  void streamThatStopsIsCut() {
+  void interruptedStreamIsTruncated() {
     part(0, "a");
 
     assertEquals(new ResponseState.Truncated(), assembler.connectionEnded());
     assertEquals(new ResponseState.Truncated(), closing(1, "a"));
   }
 
-  /** A frame was garbled or belongs elsewhere; the caller must not take the answer for whole. */
+  /**
+   * A frame was corrupted or belongs to another response, which must not be treated as complete.
+   */
   @Test
   void wrongChecksumIsMismatch() {
     part(0, "a");
@@ -89,9 +91,9 @@
         new ResponseState.Mismatch(ResponseState.MismatchReason.CONTENT), assembler.state());
   }
 
-  /** A sender that ignores its credit must not fill this process's memory. */
+  /** A sender that ignores its flow-control credit must not exhaust the memory of this process. */
   @Test
-  void partsKeptForLaterAreBounded() {
+  void bufferedPartsAreBounded() {
     part(1, "12345678");
     assertEquals(OPEN, assembler.state());
     part(2, "9");
@@ -101,7 +103,7 @@
   }
 
   @Property(seed = "41", tries = 500)
-  void anyOrderWithRepeatsGivesTheWholeAnswerOnce(
+  void anyOrderWithDuplicatesYieldsTheCompleteResponseOnce(
       @ForAll @IntRange(max = 12) int count, @ForAll long seed) {
     Random random = new Random(seed);
     ResponseAssembler large = new ResponseAssembler(ATTEMPT, 1_000);
@@ -110,34 +112,34 @@
       Collections.addAll(frames, i, i);
     }
     Collections.shuffle(frames, random);
-    String whole = "abcdefghijkl".substring(0, count);
+    String complete = "abcdefghijkl".substring(0, count);
     for (int frame : frames) {
       collect(
           frame == count
-              ? large.closingReceived(ATTEMPT, count, checksum(whole))
-              : large.partReceived(ATTEMPT, frame, bytes(whole.substring(frame, frame + 1))));
+              ? large.closingReceived(ATTEMPT, count, checksum(complete))
+              : large.partReceived(ATTEMPT, frame, bytes(complete.substring(frame, frame + 1))));
     }
 
-    assertEquals(whole, delivered.toString());
-    assertEquals(WHOLE, large.state());
+    assertEquals(complete, delivered.toString());
+    assertEquals(COMPLETE, large.state());
     delivered.setLength(0);
   }
 
   @Property(seed = "42", tries = 500)
-  void anyMissingFrameKeepsTheAnswerFromBeingWhole(
+  void anyMissingFrameLeavesTheResponseIncomplete(
       @ForAll @IntRange(min = 1, max = 12) int count, @ForAll long seed) {
     Random random = new Random(seed);
     ResponseAssembler large = new ResponseAssembler(ATTEMPT, 1_000);
     int missing = random.nextInt(count + 1);
-    String whole = "abcdefghijkl".substring(0, count);
+    String complete = "abcdefghijkl".substring(0, count);
     for (int frame = 0; frame <= count; frame++) {
       if (frame == missing) {
         continue;
       }
       if (frame == count) {
-        large.closingReceived(ATTEMPT, count, checksum(whole));
+        large.closingReceived(ATTEMPT, count, checksum(complete));
       } else {
-        large.partReceived(ATTEMPT, frame, bytes(whole.substring(frame, frame + 1)));
+        large.partReceived(ATTEMPT, frame, bytes(complete.substring(frame, frame + 1)));
       }
     }
 
@@ -149,17 +151,17 @@
     collect(assembler.partReceived(ATTEMPT, sequence, bytes(text)));
   }
 
-  private ResponseState closing(long count, String whole) {
-    return assembler.closingReceived(ATTEMPT, count, checksum(whole)).state();
+  private ResponseState closing(long count, String complete) {
+    return assembler.closingReceived(ATTEMPT, count, checksum(complete)).state();
   }
 
   private void collect(AssemblyResult delivery) {
     delivery.parts().forEach(part -> delivered.append(new String(part, StandardCharsets.UTF_8)));
   }
 
-  private static long checksum(String whole) {
+  private static long checksum(String complete) {
     CRC32C crc = new CRC32C();
-    crc.update(bytes(whole));
+    crc.update(bytes(complete));
     return crc.getValue();
   }
 
