--- a/runtime/src/main/java/org/hornbeamusher/documents/ChangeBudget.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/ChangeBudget.java
@@ -3,27 +3,27 @@
 import java.util.Optional;
 
 /**
- * How many changes a partner may still make: a token bucket that is kept in the partner's own row.
+ * Rate limit of a partner's changes: a token bucket that is stored in the partner's own row.
  *
- * <p>It answers a partner whose script submits in a loop. Without it each change would cost a
- * transaction of three writes and travel to every process, at the other partner's expense too. One
- * change a second is 26 times what both partners together are to make at the size to come (3,300 a
- * day), and costs 3 of several hundred writes a second. The burst lets a release of {@value #BURST}
- * documents go through at once.
+ * <p>It limits a partner whose script submits in a loop. Without it each change would cost a
+ * transaction of three writes and be sent to every process, at the other partner's expense too. One
+ * change a second is 26 times the rate planned for both partners together (3,300 changes a day) and
+ * costs 3 of several hundred writes a second. The burst lets a release of {@value #BURST} documents
+ * go through at once.
  *
- * @param tokens whole changes left
- * @param refilledMillis when the last token was added
+ * @param tokens changes left
+ * @param refilledMillis time at which the last token was added
  */
 public record ChangeBudget(int tokens, long refilledMillis) {
 
-  /** Changes that may follow one another without a pause. */
+  /** Capacity of the bucket: the changes that may follow one another without a pause. */
   public static final int BURST = 60;
 
-  /** Time in which one more change is allowed. */
+  /** Time after which one token is added. */
   public static final long REFILL_MILLIS = 1_000;
 
   /**
-   * Returns the budget of a partner that has changed nothing yet.
+   * Returns the budget of a partner that has made no changes yet.
    *
    * @param now milliseconds
    * @return a full bucket
@@ -33,11 +33,11 @@
   }
 
   /**
-   * Takes one change.
+   * Takes one token.
    *
-   * @param now milliseconds; a time before the last refill counts as that time, because entries'
-   *     clocks differ
-   * @return what is left, or empty when there is none
+   * @param now milliseconds; a time before the last refill counts as the time of the refill,
+   *     because the clocks of entries differ
+   * @return the remaining budget, or empty when there is no token
    */
   public Optional<ChangeBudget> take(long now) {
     ChangeBudget current = refilled(now);
@@ -48,7 +48,7 @@
   }
 
   /**
-   * Returns when a change is allowed after {@link #take} found none.
+   * Returns when the next change is allowed after {@link #take} found no token.
    *
    * @param now milliseconds
    * @return milliseconds from now
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentCodec.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentCodec.java
@@ -30,41 +30,41 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Encodes what peers tell each other about documents: MessagePack, deflated because adapter names
- * and locations repeat.
+ * Encodes the document updates and digests that peers exchange: MessagePack, deflated because
+ * adapter names and locations are repetitive.
  */
 public final class DocumentCodec {
 
-  /** Longest decoded form; a document of 900,000 characters is shorter. */
+  /** Maximum decoded length in bytes; a document of 900,000 characters is shorter. */
   private static final int MAXIMUM_INFLATED_LENGTH = 16 << 20;
 
-  private static final int NOTHING = 0;
-  private static final int WHOLE = 1;
-  private static final int DIFFERENCES = 2;
-  private static final int MODEL = 1;
-  private static final int PLAIN = 2;
+  private static final int NO_UPDATE = 0;
+  private static final int FULL_DOCUMENT = 1;
+  private static final int DELTAS = 2;
+  private static final int MODEL_KIND = 1;
+  private static final int PLAIN_KIND = 2;
 
   private DocumentCodec() {}
 
   /**
    * Encodes an update.
    *
-   * @param update what a peer is sent
+   * @param update an update that is sent to a peer
    * @return its bytes
    */
   public static byte[] encodeUpdate(DocumentUpdate update) {
     return encoded(
         packer -> {
           switch (update) {
-            case DocumentUpdate.Nothing nothing -> packer.packInt(NOTHING);
+            case DocumentUpdate.Nothing nothing -> packer.packInt(NO_UPDATE);
             case DocumentUpdate.Whole whole -> {
-              packer.packInt(WHOLE);
+              packer.packInt(FULL_DOCUMENT);
               packDocument(packer, whole.document());
             }
-            case DocumentUpdate.Differences differences -> {
-              packer.packInt(DIFFERENCES);
-              packer.packArrayHeader(differences.deltas().size());
-              for (DocumentDelta delta : differences.deltas()) {
+            case DocumentUpdate.Differences deltas -> {
+              packer.packInt(DELTAS);
+              packer.packArrayHeader(deltas.deltas().size());
+              for (DocumentDelta delta : deltas.deltas()) {
                 packDelta(packer, delta);
               }
             }
@@ -75,8 +75,8 @@
   /**
    * Decodes an update.
    *
-   * @param bytes what a peer sent
-   * @return the update; throws {@code FRAME_MALFORMED} when it has another form
+   * @param bytes the bytes that a peer sent
+   * @return the update; throws {@code FRAME_MALFORMED} when the bytes are not an encoded update
    */
   public static DocumentUpdate decodeUpdate(byte[] bytes) {
     return decoded(
@@ -84,9 +84,9 @@
         unpacker -> {
           int kind = unpacker.unpackInt();
           return switch (kind) {
-            case NOTHING -> new DocumentUpdate.Nothing();
-            case WHOLE -> new DocumentUpdate.Whole(unpackDocument(unpacker));
-            case DIFFERENCES -> new DocumentUpdate.Differences(unpackDeltas(unpacker));
+            case NO_UPDATE -> new DocumentUpdate.Nothing();
+            case FULL_DOCUMENT -> new DocumentUpdate.Whole(unpackDocument(unpacker));
+            case DELTAS -> new DocumentUpdate.Differences(unpackDeltas(unpacker));
             default -> throw malformed("document update " + kind);
           };
         });
@@ -112,8 +112,9 @@
   /**
    * Decodes a digest.
    *
-   * @param bytes what a peer sent
-   * @return versions by service; throws {@code FRAME_MALFORMED} when it has another form
+   * @param bytes the bytes that a peer sent
+   * @return versions by service; throws {@code FRAME_MALFORMED} when the bytes are not an encoded
+   *     digest
    */
   public static Map<ServiceName, Long> decodeDigest(byte[] bytes) {
     return decoded(
@@ -198,7 +199,7 @@
   private static void packKind(MessageBufferPacker packer, Kind kind) throws IOException {
     switch (kind) {
       case Kind.Model model -> {
-        packer.packInt(MODEL);
+        packer.packInt(MODEL_KIND);
         packer.packString(model.baseModel());
         packAdapters(packer, model.adapters());
         packer.packBoolean(model.fencing());
@@ -206,7 +207,7 @@
         packer.packInt(model.batch());
       }
       case Kind.Plain plain -> {
-        packer.packInt(PLAIN);
+        packer.packInt(PLAIN_KIND);
         packer.packArrayHeader(plain.nonRepeatable().size());
         for (CallPattern pattern : plain.nonRepeatable()) {
           packer.packString(pattern.method());
@@ -220,14 +221,14 @@
   private static Kind unpackKind(MessageUnpacker unpacker) throws IOException {
     int kind = unpacker.unpackInt();
     return switch (kind) {
-      case MODEL ->
+      case MODEL_KIND ->
           new Kind.Model(
               unpacker.unpackString(),
               unpackAdapters(unpacker),
               unpacker.unpackBoolean(),
               unpacker.unpackInt(),
               unpacker.unpackInt());
-      case PLAIN -> new Kind.Plain(unpackPatterns(unpacker), unpacker.unpackInt());
+      case PLAIN_KIND -> new Kind.Plain(unpackPatterns(unpacker), unpacker.unpackInt());
       default -> throw malformed("service kind " + kind);
     };
   }
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentDelta.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentDelta.java
@@ -12,14 +12,14 @@
 /**
  * The difference between two versions of one document.
  *
- * <p>Adapters make up nearly the whole of a document and few of them change at once, so a
- * difference carries the changed adapters and everything else whole. It applies only to the very
- * version it was taken from: on any other version the result would be a document nobody accepted.
+ * <p>Adapters make up most of a document and few of them change at once, so a delta contains the
+ * changed adapters and everything else in full. It applies only to the version it was computed
+ * from: on any other version the result would be a document that nobody submitted.
  *
- * @param baseVersion the version it applies to
+ * @param baseVersion the only version it applies to
  * @param head the newer version without its adapters
  * @param changed adapters that are new or different
- * @param removed adapters that are gone
+ * @param removed adapters that the newer version lacks
  */
 public record DocumentDelta(
     long baseVersion,
@@ -34,11 +34,11 @@
   }
 
   /**
-   * Takes the difference.
+   * Computes the delta between two versions.
    *
    * @param older a version
    * @param newer a later version of the same service
-   * @return what leads from one to the other
+   * @return the delta that turns the older version into the newer one
    */
   public static DocumentDelta between(ServiceDocument older, ServiceDocument newer) {
     Map<AdapterName, Adapter> before = adapters(older);
@@ -52,9 +52,9 @@
   }
 
   /**
-   * Applies the difference.
+   * Applies the delta.
    *
-   * @param held the version a process holds
+   * @param held the version that a process has
    * @return the newer version, or empty when {@code held} is not the base
    */
   public Optional<ServiceDocument> applyTo(ServiceDocument held) {
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentHolder.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentHolder.java
@@ -12,101 +12,99 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * The documents that are in force in one process: the highest version seen of each service.
+ * The current documents of one process: the highest version seen of each service.
  *
- * <p>A version never goes back, whatever order offers arrive in. A deletion is a version like any
- * other (a tombstone), so that a late copy of the deleted document cannot bring the service back.
- * May be used by several threads at once.
+ * <p>The version of a service never decreases, whatever the order in which documents arrive. A
+ * deletion is a version like any other (a tombstone), so that a late copy of the deleted document
+ * cannot restore the service. Thread-safe.
  */
 public final class DocumentHolder {
 
-  /**
-   * Differences kept of each service: at one change a second, half a minute of a partner's storm.
-   */
-  private static final int RECENT_LIMIT = 32;
+  /** Deltas kept of each service: half a minute at the maximum rate of one change a second. */
+  private static final int MAXIMUM_RECENT_DELTAS = 32;
 
-  /** Invariant: a service's version only rises. */
+  /** Invariant: the version of a service never decreases. */
   private final Map<ServiceName, ServiceDocument> documents = new ConcurrentHashMap<>();
 
   /**
-   * Invariant: each difference is based on the version of the one before; the last one leads to the
-   * version held.
+   * Invariant: each delta is based on the version that the previous one results in; the last one
+   * results in the version in {@link #documents}.
    */
-  private final Map<ServiceName, List<DocumentDelta>> recent = new ConcurrentHashMap<>();
+  private final Map<ServiceName, List<DocumentDelta>> recentDeltas = new ConcurrentHashMap<>();
 
-  /** What an offer led to. */
-  public sealed interface Offered {
+  /** Result of offering a document. */
+  public sealed interface OfferResult {
 
     /**
-     * The document was newer and is now in force.
+     * The document was newer and is now the current one.
      *
-     * @param previous what it replaced
+     * @param previous the version that it replaced
      */
-    record Newer(Optional<ServiceDocument> previous) implements Offered {}
+    record Newer(Optional<ServiceDocument> previous) implements OfferResult {}
 
-    /** This version is already held. */
-    record Same() implements Offered {}
+    /** This version is already present. */
+    record Same() implements OfferResult {}
 
     /**
-     * A newer version is held; nothing changed.
+     * A newer version is present; nothing changed.
      *
-     * @param held the version held
+     * @param held the version that is present
      */
-    record Older(long held) implements Offered {}
+    record Older(long held) implements OfferResult {}
   }
 
   /**
-   * Takes in a document if it is newer than what is held.
+   * Stores a document if it is newer than the present version.
    *
-   * @param document an accepted document, perhaps a tombstone
-   * @return what became of it
+   * @param document an accepted document or a tombstone
+   * @return whether it was newer
    */
-  public Offered offer(ServiceDocument document) {
+  public OfferResult offer(ServiceDocument document) {
     return offer(document, Optional.empty());
   }
 
-  /** Takes in a document; the difference to the version held is taken if it is not given. */
-  private Offered offer(ServiceDocument document, Optional<DocumentDelta> difference) {
-    Offered[] offered = new Offered[1];
+  /** Stores a newer document; computes the delta to the previous version if it is not given. */
+  private OfferResult offer(ServiceDocument document, Optional<DocumentDelta> knownDelta) {
+    OfferResult[] result = new OfferResult[1];
     documents.compute(
         document.service(),
         (service, held) -> {
-          offered[0] = compare(held, document);
-          if (!(offered[0] instanceof Offered.Newer)) {
+          result[0] = compare(held, document);
+          if (!(result[0] instanceof OfferResult.Newer)) {
             return held;
           }
           if (held != null) {
             DocumentDelta delta =
-                difference
+                knownDelta
                     .filter(given -> given.baseVersion() == held.version())
                     .orElseGet(() -> DocumentDelta.between(held, document));
-            remember(delta);
+            addRecentDelta(delta);
           }
           return document;
         });
-    return offered[0];
+    return result[0];
   }
 
   /**
-   * Takes in what a peer sent. Differences that do not fit the version held change nothing.
+   * Applies an update from a peer. Deltas that are not based on the present version change nothing.
    *
-   * @param update what the peer sent
-   * @return the version that came into force, or empty when none did
+   * @param update the update
+   * @return the version that became current, or empty when none did
    */
   public Optional<ServiceDocument> apply(DocumentUpdate update) {
     return switch (update) {
       case DocumentUpdate.Nothing nothing -> Optional.empty();
-      case DocumentUpdate.Whole whole -> inForce(whole.document(), Optional.empty());
-      case DocumentUpdate.Differences differences -> applyAll(differences.deltas());
+      case DocumentUpdate.Whole whole -> offerIfNewer(whole.document(), Optional.empty());
+      case DocumentUpdate.Differences deltas -> applyAll(deltas.deltas());
     };
   }
 
   /**
-   * Answers a peer that asks for a newer version.
+   * Returns the update for a peer that requests a newer version.
    *
    * @param service the service
-   * @param haveVersion the version the peer holds; 0 for none
-   * @return differences where they are still known, else the document whole
+   * @param haveVersion the version that the peer has; 0 for none
+   * @return deltas if they are still kept, else the full document
    */
   public DocumentUpdate updateSince(ServiceName service, long haveVersion) {
     ServiceDocument held = documents.get(service);
@@ -114,7 +112,7 @@
       return new DocumentUpdate.Nothing();
     }
     List<DocumentDelta> deltas =
-        recent.getOrDefault(service, List.of()).stream()
+        recentDeltas.getOrDefault(service, List.of()).stream()
             .dropWhile(delta -> delta.baseVersion() != haveVersion)
             .toList();
     return deltas.isEmpty()
@@ -123,7 +121,7 @@
   }
 
   /**
-   * Returns the document in force.
+   * Returns the current document.
    *
    * @param service the service
    * @return empty when the service is unknown or deleted
@@ -133,7 +131,7 @@
   }
 
   /**
-   * Returns the highest version seen, a tombstone included.
+   * Returns the highest version seen, which may be a tombstone.
    *
    * @param service the service
    * @return empty when the service was never seen
@@ -143,18 +141,18 @@
   }
 
   /**
-   * Returns every document in force.
+   * Returns all current documents.
    *
-   * @return without tombstones, in no order
+   * @return the documents without tombstones, in no particular order
    */
   public Collection<ServiceDocument> all() {
     return documents.values().stream().filter(document -> !document.deleted()).toList();
   }
 
   /**
-   * Returns the version held of each service, tombstones included.
+   * Returns the version of each service, tombstones included.
    *
-   * @return versions by service, in order of the names
+   * @return versions by service, ordered by name
    */
   public Map<ServiceName, Long> digest() {
     Map<ServiceName, Long> versions = new TreeMap<>();
@@ -163,26 +161,26 @@
   }
 
   /**
-   * Returns a hash of the digest, short enough for every heartbeat.
+   * Returns a hash of the digest, short enough to send with every heartbeat.
    *
-   * <p>Equal digests have equal hashes. Two different digests collide once in 2^64; the next change
-   * of either side ends the collision, and the table is polled all the same.
+   * <p>Equal digests have equal hashes. Two different digests collide with a probability of 2^-64;
+   * the next change on either side ends the collision, and the table is polled anyway.
    *
-   * @return the hash; 0 when nothing is held
+   * @return the hash; 0 when there are no documents
    */
   public long digestHash() {
     long hash = 0;
     for (ServiceDocument document : documents.values()) {
-      hash += mixed(document.service().value(), document.version());
+      hash += mixHash(document.service().value(), document.version());
     }
     return hash;
   }
 
   /**
-   * Says what a peer holds that is newer.
+   * Finds the services of which a peer has a newer version.
    *
    * @param digest the peer's digest
-   * @return the services to pull from it
+   * @return the services to pull from the peer
    */
   public Set<ServiceName> missing(Map<ServiceName, Long> digest) {
     Set<ServiceName> missing = new TreeSet<>();
@@ -195,26 +193,26 @@
     return missing;
   }
 
-  private static Offered compare(ServiceDocument held, ServiceDocument document) {
+  private static OfferResult compare(ServiceDocument held, ServiceDocument document) {
     if (held == null || document.version() > held.version()) {
-      return new Offered.Newer(Optional.ofNullable(held));
+      return new OfferResult.Newer(Optional.ofNullable(held));
     }
     return document.version() == held.version()
-        ? new Offered.Same()
-        : new Offered.Older(held.version());
+        ? new OfferResult.Same()
+        : new OfferResult.Older(held.version());
   }
 
-  private void remember(DocumentDelta delta) {
+  private void addRecentDelta(DocumentDelta delta) {
     ServiceName service = delta.head().service();
-    List<DocumentDelta> deltas = new ArrayList<>(recent.getOrDefault(service, List.of()));
+    List<DocumentDelta> deltas = new ArrayList<>(recentDeltas.getOrDefault(service, List.of()));
     deltas.add(delta);
-    int surplus = Math.max(0, deltas.size() - RECENT_LIMIT);
-    recent.put(service, List.copyOf(deltas.subList(surplus, deltas.size())));
+    int excess = Math.max(0, deltas.size() - MAXIMUM_RECENT_DELTAS);
+    recentDeltas.put(service, List.copyOf(deltas.subList(excess, deltas.size())));
   }
 
-  private Optional<ServiceDocument> inForce(
-      ServiceDocument document, Optional<DocumentDelta> difference) {
-    return offer(document, difference) instanceof Offered.Newer
+  private Optional<ServiceDocument> offerIfNewer(
+      ServiceDocument document, Optional<DocumentDelta> knownDelta) {
+    return offer(document, knownDelta) instanceof OfferResult.Newer
         ? Optional.of(document)
         : Optional.empty();
   }
@@ -223,12 +221,12 @@
     Optional<ServiceDocument> last = Optional.empty();
     for (DocumentDelta delta : deltas) {
       Optional<ServiceDocument> newer = held(delta.head().service()).flatMap(delta::applyTo);
-      last = newer.flatMap(document -> inForce(document, Optional.of(delta)));
+      last = newer.flatMap(document -> offerIfNewer(document, Optional.of(delta)));
     }
     return last;
   }
 
-  private static long mixed(String name, long version) {
+  private static long mixHash(String name, long version) {
     long value = version * 0x9E3779B97F4A7C15L;
     for (int i = 0; i < name.length(); i++) {
       value = (value ^ name.charAt(i)) * 0xBF58476D1CE4E5B9L;
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentListener.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentListener.java
@@ -1,13 +1,13 @@
 package org.hornbeamusher.documents;
 
-/** Is told when a newer version comes into force in this process. */
+/** Notified when a newer version of a document becomes current in this process. */
 @FunctionalInterface
 public interface DocumentListener {
 
   /**
-   * A newer version is in force. Must return at once and not throw.
+   * Called after a newer version has become current. Must not block or throw.
    *
-   * @param document the version, perhaps a tombstone
+   * @param document the newer version, which may be a tombstone
    */
-  void newer(ServiceDocument document);
+  void documentUpdated(ServiceDocument document);
 }
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentPeer.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentPeer.java
@@ -4,29 +4,29 @@
 import java.util.concurrent.CompletableFuture;
 import org.hornbeamusher.ids.ServiceName;
 
-/** Another process of the system that documents are pulled from. */
+/** Another process from which documents are pulled. */
 public interface DocumentPeer {
 
   /**
-   * Asks for the versions the peer holds.
+   * Requests the versions that the peer has.
    *
    * @return versions by service, tombstones included
    */
   CompletableFuture<Map<ServiceName, Long>> digest();
 
   /**
-   * Asks for a newer version of one document.
+   * Requests a newer version of one document.
    *
    * @param service the service
-   * @param haveVersion the version held here; 0 for none
-   * @return what the peer has beyond it
+   * @param haveVersion the version present in this process; 0 for none
+   * @return the peer's update to its own version
    */
   CompletableFuture<DocumentUpdate> pull(ServiceName service, long haveVersion);
 
   /**
-   * Returns whether a large answer of this peer is arriving.
+   * Returns whether a large response of this peer is arriving.
    *
-   * @return whether what was asked of it may still come, however long that takes
+   * @return true if pending requests to it may still be answered, however long that takes
    */
   boolean receiving();
 }
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentReading.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentReading.java
@@ -2,20 +2,20 @@
 
 import org.hornbeamusher.toml.Problems;
 
-/** What reading a service document led to. */
+/** Result of reading a service document. */
 public sealed interface DocumentReading {
 
   /**
-   * The document is good.
+   * The document is valid.
    *
-   * @param document what it declares, at version 0: the version is given when it is accepted
+   * @param document the document at version 0; it gets its version when it is accepted
    */
   record Valid(ServiceDocument document) implements DocumentReading {}
 
   /**
-   * The document is refused whole.
+   * The document is invalid; no part of it is accepted.
    *
-   * @param problems everything that is wrong, by line; never empty
+   * @param problems all problems, ordered by line; never empty
    */
   record Invalid(Problems problems) implements DocumentReading {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentRows.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentRows.java
@@ -20,7 +20,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Names and encodes the rows of table {@value #TABLE}: MessagePack, texts deflated. */
+/** Keys and encoding of the rows of table {@value #TABLE}: MessagePack with deflated texts. */
 final class DocumentRows {
 
   static final String TABLE = "documents";
@@ -41,7 +41,7 @@
   }
 
   static RowKey audit(PartnerId owner, ServiceName service, long version) {
-    return new RowKey(TABLE, auditPrefix(owner, service) + ordered(version));
+    return new RowKey(TABLE, auditPrefix(owner, service) + sortable(version));
   }
 
   static String attemptPrefix(PartnerId owner, ServiceName service) {
@@ -49,12 +49,12 @@
   }
 
   static RowKey attempt(PartnerId owner, RefusedAttempt attempt, String submission) {
-    String time = ordered(attempt.triedMillis());
+    String time = sortable(attempt.triedMillis());
     return new RowKey(TABLE, attemptPrefix(owner, attempt.service()) + time + "-" + submission);
   }
 
-  /** Writes a number so that the order of texts is the order of numbers. */
-  static String ordered(long number) {
+  /** Pads a number with zeros so that keys sort in numeric order. */
+  static String sortable(long number) {
     return String.format("%019d", number);
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentStore.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentStore.java
@@ -16,21 +16,23 @@
 import org.hornbeamusher.table.Table;
 
 /**
- * Service documents in the platform's table.
+ * Reads and writes service documents in the platform's table.
  *
  * <p>Futures fail with {@code PLATFORM_UNAVAILABLE} or {@code PLATFORM_THROTTLED} when nothing was
  * written, and with {@code PLATFORM_ANSWER_LOST} and an unknown outcome when a change may have been
- * accepted. Submitting the same text on the same base again is then safe: it is one change.
+ * accepted. Submitting the same text with the same base version again is then safe: it makes one
+ * change only.
  */
 public final class DocumentStore {
 
   /**
-   * How often a submission starts over after a race for the partner's row or a lost answer. Races
-   * come from the partner's own operators, and {@link ChangeBudget} bounds them.
+   * Maximum attempts of a submission; retried are conflicts on the partner's row and lost
+   * responses. Conflicts come from the partner's own operators, and {@link ChangeBudget} limits
+   * their rate.
    */
-  private static final int MAXIMUM_ROUNDS = 8;
+  private static final int MAXIMUM_ATTEMPTS = 8;
 
-  private static final int PARTNER_LIMIT = 1_000;
+  private static final int MAXIMUM_PARTNERS = 1_000;
 
   private final Table table;
   private final Clock clock;
@@ -40,8 +42,8 @@
    * Creates a store.
    *
    * @param table the platform's table
-   * @param clock the time
-   * @param tokens makes a text that no other submission has, for example a random UUID
+   * @param clock the clock
+   * @param tokens generates a unique token for each submission, for example a random UUID
    */
   public DocumentStore(Table table, Clock clock, Supplier<String> tokens) {
     this.table = table;
@@ -55,8 +57,8 @@
    * @param fileName the name shown in problems
    * @param text the TOML text
    * @param baseVersion the version it was based on; 0 for a service without a document
-   * @param author whom the token stands for
-   * @return how it ended
+   * @param author the author that the operator's token identifies
+   * @return the result
    */
   public CompletableFuture<SubmitResult> submit(
       String fileName, String text, long baseVersion, Principal author) {
@@ -65,7 +67,7 @@
           CompletableFuture.completedFuture(new SubmitResult.Invalid(invalid.problems()));
       case DocumentReading.Valid valid -> {
         Submission.Change change = new Submission.Change.Replace(valid.document(), text);
-        yield round(new Submission(change, baseVersion, author, tokens.get()), 1, false);
+        yield runAttempt(new Submission(change, baseVersion, author, tokens.get()), 1, false);
       }
     };
   }
@@ -74,24 +76,24 @@
    * Withdraws a service.
    *
    * @param service the service
-   * @param baseVersion the version in force
-   * @param author whom the token stands for
-   * @return how it ended
+   * @param baseVersion the current version
+   * @param author the author that the operator's token identifies
+   * @return the result
    */
   public CompletableFuture<SubmitResult> delete(
       ServiceName service, long baseVersion, Principal author) {
     Submission.Change change = new Submission.Change.Delete(service);
-    return round(new Submission(change, baseVersion, author, tokens.get()), 1, false);
+    return runAttempt(new Submission(change, baseVersion, author, tokens.get()), 1, false);
   }
 
   /**
-   * Puts the text of an older version in force again, as a new version.
+   * Submits the text of an older version as a new version.
    *
    * @param service the service
-   * @param olderVersion the version whose text is wanted
-   * @param baseVersion the version in force
-   * @param author whom the token stands for
-   * @return how it ended; fails with {@code DOCUMENT_UNKNOWN} when there is no such version
+   * @param olderVersion the version whose text is submitted
+   * @param baseVersion the current version
+   * @param author the author that the operator's token identifies
+   * @return the result; fails with {@code DOCUMENT_UNKNOWN} when there is no such version
    */
   public CompletableFuture<SubmitResult> rollBack(
       ServiceName service, long olderVersion, long baseVersion, Principal author) {
@@ -100,16 +102,16 @@
         .thenCompose(
             row -> {
               StoredDocument older =
-                  row.map(DocumentRows::decodeDocument).orElseThrow(() -> unknown(service));
+                  row.map(DocumentRows::decodeDocument).orElseThrow(() -> documentUnknown(service));
               return submit(service + "@" + olderVersion, older.text(), baseVersion, author);
             });
   }
 
   /**
-   * Returns what is in force, for an operator.
+   * Reads the current document for an operator.
    *
    * @param service the service
-   * @param reader whom the token stands for
+   * @param reader the reader that the operator's token identifies
    * @return the document; fails with {@code DOCUMENT_FORBIDDEN} for another partner's service and
    *     {@code DOCUMENT_UNKNOWN} when there is none
    */
@@ -117,7 +119,7 @@
     return stored(service)
         .thenApply(
             found -> {
-              StoredDocument document = found.orElseThrow(() -> unknown(service));
+              StoredDocument document = found.orElseThrow(() -> documentUnknown(service));
               if (!document.author().partner().equals(reader.partner())) {
                 throw HornbeamusherException.notRun(FailureType.DOCUMENT_FORBIDDEN, service);
               }
@@ -126,44 +128,44 @@
   }
 
   /**
-   * Returns accepted changes in order. Another partner's trail cannot be named: the key begins with
-   * the reader's own partner.
+   * Returns accepted changes in order. The history of another partner cannot be read, because the
+   * key begins with the reader's own partner.
    *
    * @param service the service
-   * @param reader whom the token stands for
-   * @param afterVersion only later versions; 0 from the start
-   * @param limit at most this many
+   * @param reader the reader that the operator's token identifies
+   * @param afterVersion only later versions; 0 for all
+   * @param limit maximum number of changes
    * @return the changes; fails as {@link #show} does
    */
   public CompletableFuture<List<StoredDocument>> history(
       ServiceName service, Principal reader, long afterVersion, int limit) {
     String prefix = DocumentRows.auditPrefix(reader.partner(), service);
-    String after = prefix + DocumentRows.ordered(afterVersion);
+    String after = prefix + DocumentRows.sortable(afterVersion);
     return show(service, reader)
         .thenCompose(shown -> table.scan(DocumentRows.TABLE, prefix, after, limit))
         .thenApply(rows -> rows.stream().map(DocumentRows::decodeDocument).toList());
   }
 
   /**
-   * Returns changes that others tried, in order.
+   * Returns refused changes of authors that do not own the document, in order.
    *
    * @param service the service
-   * @param reader whom the token stands for
-   * @param afterMillis only later attempts; 0 from the start
-   * @param limit at most this many
+   * @param reader the reader that the operator's token identifies
+   * @param afterMillis only later attempts; 0 for all
+   * @param limit maximum number of attempts
    * @return the attempts on a service of the reader's partner
    */
   public CompletableFuture<List<RefusedAttempt>> attempts(
       ServiceName service, Principal reader, long afterMillis, int limit) {
     String prefix = DocumentRows.attemptPrefix(reader.partner(), service);
-    String after = prefix + DocumentRows.ordered(afterMillis);
+    String after = prefix + DocumentRows.sortable(afterMillis);
     return table
         .scan(DocumentRows.TABLE, prefix, after, limit)
         .thenApply(rows -> rows.stream().map(DocumentRows::decodeAttempt).toList());
   }
 
   /**
-   * Reads the document in force, for a process of the system.
+   * Reads the current document, without a check of permissions.
    *
    * @param service the service
    * @return the document or its tombstone; empty when there never was one
@@ -173,13 +175,13 @@
   }
 
   /**
-   * Reads the version of every document: one scan of one small row for each partner.
+   * Reads the version of every document with one scan; there is one small row per partner.
    *
    * @return versions by service, tombstones included
    */
   public CompletableFuture<Map<ServiceName, Long>> versions() {
     return table
-        .scan(DocumentRows.TABLE, DocumentRows.PARTNER_PREFIX, "", PARTNER_LIMIT)
+        .scan(DocumentRows.TABLE, DocumentRows.PARTNER_PREFIX, "", MAXIMUM_PARTNERS)
         .thenApply(
             rows -> {
               Map<ServiceName, Long> versions = new HashMap<>();
@@ -196,13 +198,15 @@
         .thenApply(row -> row.map(DocumentRows::decodeDocument));
   }
 
-  private CompletableFuture<SubmitResult> round(Submission submission, int number, boolean lost) {
-    return attempt(submission, lost)
-        .exceptionally(DocumentStore::failedStep)
-        .thenCompose(step -> next(step, submission, number, lost));
+  private CompletableFuture<SubmitResult> runAttempt(
+      Submission submission, int attempt, boolean responseLost) {
+    return readAndCommit(submission, responseLost)
+        .exceptionally(DocumentStore::failedOutcome)
+        .thenCompose(outcome -> finishOrRetry(outcome, submission, attempt, responseLost));
   }
 
-  private CompletableFuture<Step> attempt(Submission submission, boolean lost) {
+  private CompletableFuture<AttemptOutcome> readAndCommit(
+      Submission submission, boolean responseLost) {
     CompletableFuture<Optional<Row>> document =
         table.read(DocumentRows.document(submission.change().service()));
     CompletableFuture<Optional<Row>> partner =
@@ -210,32 +214,36 @@
     return document
         .thenCombine(
             partner, (row, other) -> SubmitDecision.decide(submission, row, other, clock.millis()))
-        .thenCompose(decision -> carryOut(decision, submission, lost));
+        .thenCompose(decision -> execute(decision, submission, responseLost));
   }
 
-  private CompletableFuture<Step> carryOut(
-      SubmitDecision decision, Submission submission, boolean lost) {
+  private CompletableFuture<AttemptOutcome> execute(
+      SubmitDecision decision, Submission submission, boolean responseLost) {
     return switch (decision) {
-      case SubmitDecision.Done done when lost -> settle(done.result(), submission);
-      case SubmitDecision.Done done ->
-          CompletableFuture.completedFuture(new Step.Finished(done.result()));
+      case SubmitDecision.NoWrite noWrite when responseLost ->
+          resolveLostResponse(noWrite.result(), submission);
+      case SubmitDecision.NoWrite noWrite ->
+          CompletableFuture.completedFuture(new AttemptOutcome.Finished(noWrite.result()));
       case SubmitDecision.Commit commit ->
           table
               .commit(commit.transaction())
               .thenApply(
                   result ->
                       switch (result) {
-                        case CommitResult.Committed committed -> new Step.Finished(commit.result());
-                        case CommitResult.Conflict conflict -> new Step.Raced();
+                        case CommitResult.Committed committed ->
+                            new AttemptOutcome.Finished(commit.result());
+                        case CommitResult.Conflict conflict -> new AttemptOutcome.Conflicted();
                       });
     };
   }
 
   /**
-   * Settles a result that was found after an answer had been lost. The lost transaction may have
-   * taken effect and have been followed by others; the audit row of its version tells by its token.
+   * Resolves a result that was read after a response had been lost. The transaction may have been
+   * committed and other changes may have followed; the audit row of its version contains its token
+   * if so.
    */
-  private CompletableFuture<Step> settle(SubmitResult result, Submission submission) {
+  private CompletableFuture<AttemptOutcome> resolveLostResponse(
+      SubmitResult result, Submission submission) {
     long version = submission.baseVersion() + 1;
     ServiceName service = submission.change().service();
     return table
@@ -246,56 +254,60 @@
                     .filter(stored -> stored.submission().equals(submission.token()))
                     .<SubmitResult>map(own -> new SubmitResult.Accepted(service, version))
                     .orElse(result))
-        .thenApply(Step.Finished::new);
+        .thenApply(AttemptOutcome.Finished::new);
   }
 
-  private static Step failedStep(Throwable thrown) {
+  private static AttemptOutcome failedOutcome(Throwable thrown) {
     HornbeamusherException failure = HornbeamusherException.from(thrown);
     return failure.type() == FailureType.PLATFORM_ANSWER_LOST
-        ? new Step.Lost()
-        : new Step.Failed(failure);
+        ? new AttemptOutcome.ResponseLost()
+        : new AttemptOutcome.Failed(failure);
   }
 
-  private CompletableFuture<SubmitResult> next(
-      Step step, Submission submission, int number, boolean lost) {
-    boolean last = number == MAXIMUM_ROUNDS;
-    return switch (step) {
-      case Step.Finished finished -> CompletableFuture.completedFuture(finished.result());
-      case Step.Raced raced when !last -> round(submission, number + 1, lost);
-      case Step.Lost again when !last -> round(submission, number + 1, true);
-      case Step.Raced raced when !lost ->
+  private CompletableFuture<SubmitResult> finishOrRetry(
+      AttemptOutcome outcome, Submission submission, int attempt, boolean responseLost) {
+    boolean last = attempt == MAXIMUM_ATTEMPTS;
+    return switch (outcome) {
+      case AttemptOutcome.Finished finished -> CompletableFuture.completedFuture(finished.result());
+      case AttemptOutcome.Conflicted conflicted when !last ->
+          runAttempt(submission, attempt + 1, responseLost);
+      case AttemptOutcome.ResponseLost lost when !last -> runAttempt(submission, attempt + 1, true);
+      case AttemptOutcome.Conflicted conflicted when !responseLost ->
           CompletableFuture.completedFuture(
               new SubmitResult.RateLimited(
                   submission.author().partner(), ChangeBudget.REFILL_MILLIS));
-      case Step.Failed failed when !lost -> CompletableFuture.failedFuture(failed.failure());
-      case Step.Raced raced -> CompletableFuture.failedFuture(answerLost("the partner's row"));
-      case Step.Lost again -> CompletableFuture.failedFuture(answerLost("every answer was lost"));
-      case Step.Failed failed ->
+      case AttemptOutcome.Failed failed when !responseLost ->
+          CompletableFuture.failedFuture(failed.failure());
+      case AttemptOutcome.Conflicted conflicted ->
+          CompletableFuture.failedFuture(lostResponseFailure("the partner's row"));
+      case AttemptOutcome.ResponseLost lost ->
+          CompletableFuture.failedFuture(lostResponseFailure("every answer was lost"));
+      case AttemptOutcome.Failed failed ->
           CompletableFuture.failedFuture(
-              answerLost(failed.failure().getMessage()).causedBy(failed.failure()));
+              lostResponseFailure(failed.failure().getMessage()).causedBy(failed.failure()));
     };
   }
 
-  private static HornbeamusherException answerLost(String detail) {
+  private static HornbeamusherException lostResponseFailure(String detail) {
     return HornbeamusherException.of(
         FailureType.PLATFORM_ANSWER_LOST, Outcome.UNKNOWN, "submission: " + detail);
   }
 
-  private static HornbeamusherException unknown(ServiceName service) {
+  private static HornbeamusherException documentUnknown(ServiceName service) {
     return HornbeamusherException.notRun(FailureType.DOCUMENT_UNKNOWN, service);
   }
 
-  /** How one round of a submission ended. */
-  private sealed interface Step {
+  /** Outcome of one attempt of a submission. */
+  private sealed interface AttemptOutcome {
 
-    record Finished(SubmitResult result) implements Step {}
+    record Finished(SubmitResult result) implements AttemptOutcome {}
 
     /** A row changed between read and commit. */
-    record Raced() implements Step {}
+    record Conflicted() implements AttemptOutcome {}
 
-    /** The transaction may have taken effect. */
-    record Lost() implements Step {}
+    /** The response to the commit was lost; the transaction may have been committed. */
+    record ResponseLost() implements AttemptOutcome {}
 
-    record Failed(HornbeamusherException failure) implements Step {}
+    record Failed(HornbeamusherException failure) implements AttemptOutcome {}
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentSync.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentSync.java
@@ -21,51 +21,53 @@
 /**
  * Keeps a process's {@link DocumentHolder} up to date.
  *
- * <p>Two ways lead to a newer version. An entry polls the table as {@link PollPlan} says. And every
- * heartbeat between an entry and an agent carries {@link DocumentHolder#digestHash}, eight bytes;
- * where it differs from the own one, the process asks that peer for its digest and pulls what is
- * newer there, as differences where the peer still knows them. A change so travels entry, agents,
- * entries, agents, at most one heartbeat a step, and faster when the owner of the connections sends
- * a heartbeat early whenever {@link DocumentListener} reports a newer version.
+ * <p>A process learns of newer versions in two ways. An entry polls the table at the intervals of
+ * {@link PollPlan}. And every heartbeat between an entry and an agent contains {@link
+ * DocumentHolder#digestHash} (eight bytes); if it differs from the process's own hash, the process
+ * requests the peer's digest and pulls the documents that are newer there, as deltas if the peer
+ * still has them. A change spreads from an entry to agents, from these to other entries and so on,
+ * each hop within one heartbeat interval, or faster when the owner of the connections sends a
+ * heartbeat early whenever {@link DocumentListener} reports a newer version.
  *
- * <p>The second way needs no table. A process that starts during an outage gets every document from
- * the first peer it meets; only when everything starts during an outage are there none.
+ * <p>The second way does not need the table. A process that starts during an outage gets every
+ * document from the first peer it connects to; documents are missing only when all processes start
+ * during an outage.
  */
 public final class DocumentSync {
 
-  /** Longest wait for one poll, after which the table is looked at again. */
+  /** Timeout of one poll, after which the next one is scheduled. */
   private static final long POLL_TIMEOUT_MILLIS = 15_000;
 
-  private final DocumentHolder holder;
+  private final DocumentHolder latestDocuments;
   private final DocumentStore store;
   private final Clock clock;
   private final PollPlan plan;
   private final IntSupplier pollers;
   private final RandomGenerator random;
   private final List<DocumentListener> listeners = new CopyOnWriteArrayList<>();
-  private final PullLedger ledger = new PullLedger();
+  private final PullLedger pullLedger = new PullLedger();
   private ScheduledExecutorService executor;
-  private CompletableFuture<Void> polling = CompletableFuture.completedFuture(null);
+  private CompletableFuture<Void> currentPoll = CompletableFuture.completedFuture(null);
   private int failures;
 
   /**
    * Creates a stopped service.
    *
-   * @param holder what it keeps up to date
-   * @param store the table's documents
-   * @param clock the time
-   * @param plan when to poll
-   * @param pollers how many processes poll; 0 when this process does not
-   * @param random draws the jitter
+   * @param latestDocuments the documents that it keeps up to date
+   * @param store the documents in the table
+   * @param clock the clock
+   * @param plan the intervals of polls
+   * @param pollers number of polling processes; 0 when this process does not poll
+   * @param random source of the jitter
    */
   public DocumentSync(
-      DocumentHolder holder,
+      DocumentHolder latestDocuments,
       DocumentStore store,
       Clock clock,
       PollPlan plan,
       IntSupplier pollers,
       RandomGenerator random) {
-    this.holder = holder;
+    this.latestDocuments = latestDocuments;
     this.store = store;
     this.clock = clock;
     this.plan = plan;
@@ -76,7 +78,7 @@
   /**
    * Adds a listener.
    *
-   * @param listener is told of every newer version
+   * @param listener notified of every newer version
    */
   public void listen(DocumentListener listener) {
     listeners.add(listener);
@@ -92,7 +94,7 @@
     }
   }
 
-  /** Stops polling. What is held stays in force. */
+  /** Stops polling. The documents stay current. */
   public synchronized void stop() {
     if (executor != null) {
       executor.shutdownNow();
@@ -101,79 +103,81 @@
   }
 
   /**
-   * Polls the table once, unless a poll is under way: many documents may take longer than the time
-   * between two polls, and a second one would read them all again beside the first.
+   * Polls the table once, unless a poll is in progress: reading many documents may take longer than
+   * the polling interval, and a second poll would read all of them again concurrently.
    *
-   * @return completes when every newer document was read or the table failed; never fails
+   * @return completes when every newer document was read or a read failed; never completes
+   *     exceptionally
    */
   public synchronized CompletableFuture<Void> poll() {
-    if (polling.isDone()) {
-      polling =
+    if (currentPoll.isDone()) {
+      currentPoll =
           store
               .versions()
-              .thenCompose(versions -> readAll(holder.missing(versions).iterator()))
-              .handle((done, thrown) -> polled(thrown));
+              .thenCompose(versions -> readAll(latestDocuments.missing(versions).iterator()))
+              .handle((done, thrown) -> recordPollResult(thrown));
     }
-    return polling.copy();
+    return currentPoll.copy();
   }
 
   /**
-   * Takes in the hash that a peer's heartbeat carried.
+   * Handles the hash that a peer's heartbeat contained.
    *
-   * @param peer who sent it
-   * @param digestHash its {@link DocumentHolder#digestHash}
+   * @param peer the sender
+   * @param digestHash the peer's {@link DocumentHolder#digestHash}
    */
   public void heard(DocumentPeer peer, long digestHash) {
-    if (beginDigest(peer, digestHash)) {
-      peer.digest().whenComplete((digest, thrown) -> digestAnswered(peer, digestHash, digest));
+    if (tryBeginDigest(peer, digestHash)) {
+      peer.digest().whenComplete((digest, thrown) -> digestReceived(peer, digestHash, digest));
     }
   }
 
   /**
-   * Forgets a peer whose connection is closed.
+   * Removes a peer whose connection was closed.
    *
    * @param peer the peer
    */
   public synchronized void forget(DocumentPeer peer) {
-    ledger.forget(peer);
+    pullLedger.removePeer(peer);
   }
 
-  private synchronized boolean beginDigest(DocumentPeer peer, long digestHash) {
-    return ledger.beginDigest(peer, digestHash, holder.digestHash(), clock.millis());
+  private synchronized boolean tryBeginDigest(DocumentPeer peer, long digestHash) {
+    return pullLedger.tryBeginDigest(
+        peer, digestHash, latestDocuments.digestHash(), clock.millis());
   }
 
-  private void digestAnswered(DocumentPeer peer, long peerHash, Map<ServiceName, Long> digest) {
+  private void digestReceived(DocumentPeer peer, long peerHash, Map<ServiceName, Long> digest) {
     synchronized (this) {
-      ledger.digestEnded(peer);
-      if (digest != null && holder.missing(digest).isEmpty()) {
-        ledger.nothingNewer(peer, peerHash, holder.digestHash());
+      pullLedger.digestEnded(peer);
+      if (digest != null && latestDocuments.missing(digest).isEmpty()) {
+        pullLedger.nothingNewer(peer, peerHash, latestDocuments.digestHash());
       }
     }
     if (digest != null) {
-      holder.missing(digest).forEach(service -> pull(peer, service));
+      latestDocuments.missing(digest).forEach(service -> pull(peer, service));
     }
   }
 
   private void pull(DocumentPeer peer, ServiceName service) {
     synchronized (this) {
-      if (!ledger.beginPull(service, peer, clock.millis())) {
+      if (!pullLedger.tryBeginPull(service, peer, clock.millis())) {
         return;
       }
     }
-    long have = holder.held(service).map(ServiceDocument::version).orElse(0L);
-    peer.pull(service, have)
+    long haveVersion = latestDocuments.held(service).map(ServiceDocument::version).orElse(0L);
+    peer.pull(service, haveVersion)
         .whenComplete(
             (update, thrown) -> {
               synchronized (this) {
-                ledger.pullEnded(service);
+                pullLedger.pullEnded(service);
               }
               if (update != null) {
-                holder.apply(update).ifPresent(this::report);
+                latestDocuments.apply(update).ifPresent(this::notifyListeners);
               }
             });
   }
 
-  /** Reads one document after the other, so that a cold start is no burst on the table. */
+  /** Reads one document after the other, so that a cold start causes no burst of reads. */
   private CompletableFuture<Void> readAll(Iterator<ServiceName> services) {
     if (!services.hasNext()) {
       return CompletableFuture.completedFuture(null);
@@ -181,13 +185,13 @@
     ServiceName service = services.next();
     return store
         .read(service)
-        .handle((document, thrown) -> thrown == null ? document : unreadable(service, thrown))
-        .thenAccept(found -> found.filter(this::isNewer).ifPresent(this::report))
+        .handle((document, thrown) -> thrown == null ? document : skipUnreadable(service, thrown))
+        .thenAccept(found -> found.filter(this::offerIfNewer).ifPresent(this::notifyListeners))
         .thenCompose(done -> readAll(services));
   }
 
-  /** A document this release cannot read must not keep the others out; the old version stays. */
-  private static Optional<ServiceDocument> unreadable(ServiceName service, Throwable thrown) {
+  /** A document that this release cannot read must not block the others; its old version stays. */
+  private static Optional<ServiceDocument> skipUnreadable(ServiceName service, Throwable thrown) {
     HornbeamusherException failure = HornbeamusherException.from(thrown);
     if (failure.type() != FailureType.PLATFORM_MALFORMED) {
       throw failure;
@@ -196,17 +200,17 @@
     return Optional.empty();
   }
 
-  private boolean isNewer(ServiceDocument document) {
-    return holder.offer(document) instanceof DocumentHolder.Offered.Newer;
+  private boolean offerIfNewer(ServiceDocument document) {
+    return latestDocuments.offer(document) instanceof DocumentHolder.OfferResult.Newer;
   }
 
-  private void report(ServiceDocument document) {
+  private void notifyListeners(ServiceDocument document) {
     EventLog.log(
         EventType.DOCUMENT_IN_FORCE, "service", document.service(), "version", document.version());
-    listeners.forEach(listener -> listener.newer(document));
+    listeners.forEach(listener -> listener.documentUpdated(document));
   }
 
-  private synchronized Void polled(Throwable thrown) {
+  private synchronized Void recordPollResult(Throwable thrown) {
     if (thrown == null) {
       failures = 0;
       return null;
@@ -224,12 +228,12 @@
         () ->
             poll()
                 .orTimeout(POLL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-                .whenComplete((done, thrown) -> again()),
+                .whenComplete((done, thrown) -> scheduleNextPoll()),
         delayMillis,
         TimeUnit.MILLISECONDS);
   }
 
-  private synchronized void again() {
+  private synchronized void scheduleNextPoll() {
     if (executor != null) {
       schedule(plan.delayMillis(Math.max(1, pollers.getAsInt()), failures, random.nextDouble()));
     }
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentUpdate.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentUpdate.java
@@ -2,23 +2,24 @@
 
 import java.util.List;
 
-/** What a peer sends to a process that asked for a newer version of one document. */
+/** Response of a peer to a request for a newer version of one document. */
 public sealed interface DocumentUpdate {
 
-  /** The peer holds nothing newer. */
+  /** The peer has no newer version. */
   record Nothing() implements DocumentUpdate {}
 
   /**
-   * The document at the version the peer holds.
+   * The full document at the version of the peer.
    *
-   * @param document perhaps a tombstone
+   * @param document the document or its tombstone
    */
   record Whole(ServiceDocument document) implements DocumentUpdate {}
 
   /**
-   * The differences from the version the process holds, each based on the one before.
+   * The deltas from the version of the requesting process, each based on the result of the
+   * previous.
    *
-   * @param deltas at least one
+   * @param deltas at least one delta
    */
   record Differences(List<DocumentDelta> deltas) implements DocumentUpdate {
 
--- a/runtime/src/main/java/org/hornbeamusher/documents/PartnerChanges.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/PartnerChanges.java
@@ -5,10 +5,10 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * A partner's row: the small one that readers poll.
+ * A partner's row in the table. It is small, because entries poll it.
  *
- * @param changes counts the partner's accepted changes
- * @param budget what bounds further changes
+ * @param changes number of the partner's accepted changes
+ * @param budget rate limit of further changes
  * @param versions the version of each of the partner's documents, tombstones included
  */
 record PartnerChanges(long changes, ChangeBudget budget, Map<ServiceName, Long> versions) {
@@ -21,13 +21,13 @@
     return new PartnerChanges(0, ChangeBudget.full(now), Map.of());
   }
 
-  PartnerChanges accepted(ServiceName service, long version, ChangeBudget left) {
+  PartnerChanges withAcceptedChange(ServiceName service, long version, ChangeBudget remaining) {
     Map<ServiceName, Long> next = new HashMap<>(versions);
     next.put(service, version);
-    return new PartnerChanges(changes + 1, left, next);
+    return new PartnerChanges(changes + 1, remaining, next);
   }
 
-  PartnerChanges charged(ChangeBudget left) {
-    return new PartnerChanges(changes, left, versions);
+  PartnerChanges withBudget(ChangeBudget remaining) {
+    return new PartnerChanges(changes, remaining, versions);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/documents/PollPlan.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/PollPlan.java
@@ -3,26 +3,29 @@
 /**
  * Decides when a process reads the versions of all documents from the table.
  *
- * <p>The load pattern is every process of the system asking the table the same question. At 400
- * entries and 1,400 agents, each asking every 2 s, that is 900 reads a second out of about 2,000
- * that others need too. So only entries ask, and the interval grows with their number such that all
- * of them together make {@link #readsPerSecond} reads: the first of 400 entries finds a change
- * after 50 ms on average, and heartbeats between entries and agents carry it on ({@link
- * DocumentSync}). Few entries ask no more often than {@link #minimumMillis}.
+ * <p>If each of 400 entries and 1,400 agents polled every 2 s, that would be 900 of the about 2,000
+ * reads a second that the table serves, which others need too. So only entries poll, and the
+ * interval grows with their number such that all of them together make {@link #readsPerSecond}
+ * reads: the first of 400 entries finds a change after 50 ms on average, and heartbeats between
+ * entries and agents spread it ({@link DocumentSync}). A small number of entries polls no more
+ * often than every {@link #minimumMillis}.
  *
  * <p>During an outage the interval doubles with every failure up to {@link #maximumBackoffMillis},
- * and every interval is drawn from half to one and a half of its length. Without that, processes
- * started together by a restart of everything would ask together for ever, and would meet a table
- * that has just come back with one burst.
+ * and every interval is multiplied by a random factor from 0.5 to 1.5. Without this jitter,
+ * processes that were restarted together would poll at the same time from then on, and would send a
+ * burst of reads to a table that has just recovered.
  *
- * @param readsPerSecond what all polling processes together may ask for
+ * @param readsPerSecond maximum reads a second of all polling processes together
  * @param minimumMillis shortest mean time between two polls of one process
  * @param maximumBackoffMillis longest mean time between two polls during an outage, unless the
  *     ordinary interval is longer
  */
 public record PollPlan(double readsPerSecond, long minimumMillis, long maximumBackoffMillis) {
 
-  /** One in a hundred of the table's reads; 1 s leaves half of the 2 s aimed at to the read. */
+  /**
+   * 20 reads a second are 1 % of the table's reads. Of the target of 2 s for finding a change, an
+   * interval of 1 s leaves half to the read.
+   */
   public static final PollPlan STANDARD = new PollPlan(20, 1_000, 30_000);
 
   private static final int MAXIMUM_DOUBLINGS = 16;
@@ -30,7 +33,7 @@
   /**
    * Returns the mean time between two polls of one process.
    *
-   * @param pollers how many processes poll, as far as this one knows; at least 1
+   * @param pollers number of polling processes known to this one; at least 1
    * @return milliseconds
    */
   public long intervalMillis(int pollers) {
@@ -38,11 +41,11 @@
   }
 
   /**
-   * Returns when a starting process polls first.
+   * Returns the delay of the first poll of a process that starts.
    *
-   * @param pollers how many processes poll
-   * @param random from 0 to 1
-   * @return milliseconds from now; less than one interval
+   * @param pollers number of polling processes
+   * @param random a random number from 0 to 1
+   * @return milliseconds from now; at most one interval
    */
   public long firstDelayMillis(int pollers, double random) {
     long interval = intervalMillis(pollers);
@@ -50,17 +53,17 @@
   }
 
   /**
-   * Returns when a process polls again.
+   * Returns the delay of the next poll.
    *
-   * @param pollers how many processes poll
-   * @param failures how many polls failed in a row
-   * @param random from 0 to 1
+   * @param pollers number of polling processes
+   * @param failures number of consecutive failed polls
+   * @param random a random number from 0 to 1
    * @return milliseconds from now
    */
   public long delayMillis(int pollers, int failures, double random) {
     long interval = intervalMillis(pollers);
-    long longest = Math.max(interval, maximumBackoffMillis);
-    long backedOff = Math.min(longest, interval << Math.min(failures, MAXIMUM_DOUBLINGS));
-    return Math.round(backedOff * (0.5 + random));
+    long maximumMillis = Math.max(interval, maximumBackoffMillis);
+    long backoffMillis = Math.min(maximumMillis, interval << Math.min(failures, MAXIMUM_DOUBLINGS));
+    return Math.round(backoffMillis * (0.5 + random));
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/documents/Principal.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/Principal.java
@@ -4,7 +4,7 @@
 import org.hornbeamusher.ids.TeamId;
 
 /**
- * Whom a team token stands for.
+ * The team that an operator's token identifies.
  *
  * @param partner the partner
  * @param team the team, unique within its partner
@@ -12,7 +12,7 @@
 public record Principal(PartnerId partner, TeamId team) {
 
   /**
-   * Tells whether this team owns a document.
+   * Returns whether this team owns a document.
    *
    * @param document any version of it
    * @return whether partner and team are the same
--- a/runtime/src/main/java/org/hornbeamusher/documents/PullLedger.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/PullLedger.java
@@ -5,70 +5,71 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * Decides whether to ask a peer, so that one change is pulled once and not from every peer.
+ * Decides whether to pull from a peer, so that one change is pulled once and not from every peer.
  *
- * <p>An entry at size hears the same new digest from some 90 agents within a second. Without this,
- * it would pull the same document from each of them. A pull that is not answered within {@link
- * #PATIENCE_MILLIS} counts as failed, because a connection may go silent for good; then the next
- * heartbeat of any peer starts another one. A large document takes longer on a thin link, and a
- * second copy of it would take the link from the first: while an answer of the peer is arriving,
- * its pull has not failed.
+ * <p>At the planned size, an entry receives the same new digest from about 90 agents within a
+ * second. Without this class it would pull the same document from each of them. A pull without a
+ * response within {@link #PULL_TIMEOUT_MILLIS} counts as failed, because a connection may stop
+ * delivering for good; the next heartbeat of any peer then starts another pull. On a slow link a
+ * large document takes longer than that, and a second copy would compete with the first for
+ * bandwidth; therefore a pull does not count as failed while a response of the peer is arriving.
  *
- * <p>Not safe for use by several threads at once.
+ * <p>Not thread-safe.
  */
 final class PullLedger {
 
-  /** Longer than a round trip between regions and shorter than the 7 s in which changes spread. */
-  static final long PATIENCE_MILLIS = 1_500;
+  /** Longer than a round trip between regions; shorter than the 7 s within which changes spread. */
+  static final long PULL_TIMEOUT_MILLIS = 1_500;
 
-  private final Map<ServiceName, Pull> pulling = new HashMap<>();
-  private final Map<DocumentPeer, Compared> compared = new HashMap<>();
-  private final Map<DocumentPeer, Long> asking = new HashMap<>();
+  private final Map<ServiceName, PendingPull> pendingPulls = new HashMap<>();
+  private final Map<DocumentPeer, HashPair> hashesWithNothingNewer = new HashMap<>();
+  private final Map<DocumentPeer, Long> digestRequestTimes = new HashMap<>();
 
-  private record Compared(long peerHash, long ownHash) {}
+  private record HashPair(long peerHash, long ownHash) {}
 
-  private record Pull(DocumentPeer peer, long sinceMillis) {}
+  private record PendingPull(DocumentPeer peer, long sinceMillis) {}
 
-  /** Tells whether a heartbeat's hash is worth asking that peer for its digest. */
-  boolean beginDigest(DocumentPeer peer, long peerHash, long ownHash, long now) {
-    Compared hashes = new Compared(peerHash, ownHash);
-    boolean known = peerHash == ownHash || hashes.equals(compared.get(peer));
-    if (known || waiting(asking.get(peer), now)) {
+  /** Decides whether to request a peer's digest after a heartbeat with the given hash. */
+  boolean tryBeginDigest(DocumentPeer peer, long peerHash, long ownHash, long now) {
+    HashPair hashes = new HashPair(peerHash, ownHash);
+    boolean known = peerHash == ownHash || hashes.equals(hashesWithNothingNewer.get(peer));
+    if (known || notTimedOut(digestRequestTimes.get(peer), now)) {
       return false;
     }
-    asking.put(peer, now);
+    digestRequestTimes.put(peer, now);
     return true;
   }
 
-  /** Records that a peer holds nothing newer, until one of the hashes changes. */
+  /** Records that a peer has no newer version, until one of the hashes changes. */
   void nothingNewer(DocumentPeer peer, long peerHash, long ownHash) {
-    compared.put(peer, new Compared(peerHash, ownHash));
+    hashesWithNothingNewer.put(peer, new HashPair(peerHash, ownHash));
   }
 
   void digestEnded(DocumentPeer peer) {
-    asking.remove(peer);
+    digestRequestTimes.remove(peer);
   }
 
   /** Decides whether to pull a document from a peer now. */
-  boolean beginPull(ServiceName service, DocumentPeer peer, long now) {
-    Pull under = pulling.get(service);
-    if (under != null && (waiting(under.sinceMillis(), now) || under.peer().receiving())) {
+  boolean tryBeginPull(ServiceName service, DocumentPeer peer, long now) {
+    PendingPull pending = pendingPulls.get(service);
+    if (pending != null
+        && (notTimedOut(pending.sinceMillis(), now) || pending.peer().receiving())) {
       return false;
     }
-    pulling.put(service, new Pull(peer, now));
+    pendingPulls.put(service, new PendingPull(peer, now));
     return true;
   }
 
   void pullEnded(ServiceName service) {
-    pulling.remove(service);
+    pendingPulls.remove(service);
   }
 
-  void forget(DocumentPeer peer) {
-    compared.remove(peer);
-    asking.remove(peer);
+  void removePeer(DocumentPeer peer) {
+    hashesWithNothingNewer.remove(peer);
+    digestRequestTimes.remove(peer);
   }
 
-  private static boolean waiting(Long since, long now) {
-    return since != null && now - since < PATIENCE_MILLIS && now >= since;
+  private static boolean notTimedOut(Long since, long now) {
+    return since != null && now - since < PULL_TIMEOUT_MILLIS && now >= since;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/documents/RefusedAttempt.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/RefusedAttempt.java
@@ -3,10 +3,10 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * A change that was tried by somebody who does not own the document.
+ * A change that was refused because its author does not own the document.
  *
  * @param service the service
- * @param author who tried
- * @param triedMillis when, by the clock of the entry that refused it
+ * @param author who submitted it
+ * @param triedMillis time of the attempt, by the clock of the entry that refused it
  */
 public record RefusedAttempt(ServiceName service, Principal author, long triedMillis) {}
--- a/runtime/src/main/java/org/hornbeamusher/documents/ServiceDocument.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/ServiceDocument.java
@@ -10,18 +10,18 @@
 import org.hornbeamusher.ids.TeamId;
 
 /**
- * What a team declares about one service, at one version.
+ * A team's declaration of one service, at one version.
  *
  * @param service the service
  * @param partner the partner it belongs to; never changes
  * @param team the team that owns it; never changes
- * @param version counts the accepted documents of this service, from 1
+ * @param version number of the accepted document of this service, from 1
  * @param deleted whether this version withdraws the service
- * @param pool the endpoints that run its requests
- * @param kind what its endpoints are
- * @param weights how its requests trade the two measures
- * @param limits its bounds
- * @param callerWeights each caller's part of the service's share; callers not named have 1
+ * @param pool the pool of endpoints that run its requests
+ * @param kind the kind of its endpoints
+ * @param weights how its requests trade load stalls against batch efficiency
+ * @param limits its limits
+ * @param callerWeights each caller's weight within the service's share; callers not listed have 1
  */
 public record ServiceDocument(
     ServiceName service,
@@ -55,7 +55,7 @@
   /**
    * Returns this declaration with another kind.
    *
-   * @param newKind what runs its requests
+   * @param newKind the kind of its endpoints
    * @return a copy
    */
   ServiceDocument withKind(Kind newKind) {
@@ -63,17 +63,17 @@
         service, partner, team, version, deleted, pool, newKind, weights, limits, callerWeights);
   }
 
-  /** What runs a service's requests. */
+  /** Kind of the endpoints that run a service's requests. */
   public sealed interface Kind {
 
     /**
-     * Model engines that hold adapters.
+     * Model engines that load adapters.
      *
      * @param baseModel the base model's name as the engine knows it
      * @param adapters every adapter by name
      * @param fencing whether the engines refuse orders with an old fencing number
-     * @param slots how many adapters an engine holds at once
-     * @param batch how many requests an engine runs at once
+     * @param slots maximum number of adapters that are resident in an engine at once
+     * @param batch maximum number of requests that an engine runs at once
      */
     record Model(
         String baseModel, Map<AdapterName, Adapter> adapters, boolean fencing, int slots, int batch)
@@ -89,7 +89,7 @@
      * A plain HTTP service.
      *
      * @param nonRepeatable calls that must run at most once
-     * @param concurrency how many calls one endpoint runs at once
+     * @param concurrency maximum number of calls that one endpoint runs at once
      */
     record Plain(List<CallPattern> nonRepeatable, int concurrency) implements Kind {
 
@@ -103,9 +103,9 @@
   /**
    * One adapter.
    *
-   * @param current the version a request gets that names none
-   * @param versions every version that may be named
-   * @param weights where the weight store keeps it; {@code {version}} is replaced
+   * @param current the version for requests that do not name one
+   * @param versions all versions that requests may name
+   * @param weights its location in the weight store; {@code {version}} is replaced
    */
   public record Adapter(int current, List<Integer> versions, String weights) {
 
@@ -116,7 +116,7 @@
   }
 
   /**
-   * Matches calls of a plain service.
+   * Pattern that matches calls of a plain service.
    *
    * @param method the HTTP method
    * @param pathPrefix the beginning of the path below the service's own prefix
@@ -132,13 +132,13 @@
   public record Weights(double loadStall, double batchEfficiency) {}
 
   /**
-   * Bounds of a service.
+   * Limits of a service.
    *
-   * @param share the service's part of its partner's share, from 1
-   * @param queue most requests that wait at one endpoint
-   * @param defaultDeadlineMillis the deadline of a request that names none
-   * @param maximumDeadlineMillis the longest deadline a request may name
-   * @param maximumTokens most tokens a request may ask for
+   * @param share the service's weight within its partner's share, from 1
+   * @param queue maximum number of requests that wait at one endpoint
+   * @param defaultDeadlineMillis the deadline of a request that does not state one
+   * @param maximumDeadlineMillis the longest deadline that a request may state
+   * @param maximumTokens maximum number of tokens that a request may ask for
    */
   public record Limits(
       int share,
--- a/runtime/src/main/java/org/hornbeamusher/documents/ServiceDocumentReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/ServiceDocumentReader.java
@@ -23,14 +23,14 @@
 import org.hornbeamusher.toml.TomlDocument;
 
 /**
- * Reads the TOML text of a service document and checks it whole.
+ * Parses and validates the TOML text of a service document.
  *
- * <p>The format is described in {@code docs/DOCUMENTS.md}. A document is good or refused: there is
- * no partial acceptance, and every problem is reported at once with its line and key.
+ * <p>The format is described in {@code docs/DOCUMENTS.md}. A document is accepted or refused as a
+ * whole, and all problems are reported at once with their line and key.
  */
 public final class ServiceDocumentReader {
 
-  /** Longest text; with its envelope it must fit a row of 1 MiB. */
+  /** Maximum length of the text; encoded with the other fields it must fit a row of 1 MiB. */
   public static final int MAXIMUM_TEXT_LENGTH = 900_000;
 
   private static final int MAXIMUM_SLOTS = 4_096;
@@ -45,8 +45,8 @@
   private static final int DEFAULT_QUEUE = 64;
   private static final int DEFAULT_TOKENS = 4_096;
   private static final Pattern METHOD = Pattern.compile("[A-Z]{1,16}");
-  private static final String ADAPTER_PLACE = "{adapter}";
-  private static final String VERSION_PLACE = "{version}";
+  private static final String ADAPTER_PLACEHOLDER = "{adapter}";
+  private static final String VERSION_PLACEHOLDER = "{version}";
 
   private ServiceDocumentReader() {}
 
@@ -55,7 +55,7 @@
    *
    * @param fileName the name shown in problems
    * @param text the whole text
-   * @return the document at version 0, or everything that is wrong with it
+   * @return the document at version 0, or all its problems
    */
   public static DocumentReading read(String fileName, String text) {
     if (text.length() > MAXIMUM_TEXT_LENGTH) {
@@ -127,14 +127,14 @@
     List<Integer> versions =
         table.integers("versions", 1, Integer.MAX_VALUE).stream().map(Long::intValue).toList();
     checkVersions(table, current, versions);
-    String weights = table.string("weights", pattern);
-    if (weights.isEmpty()) {
+    String weightsLocation = table.string("weights", pattern);
+    if (weightsLocation.isEmpty()) {
       String detail = "the key is required where [model] has no weights";
       table.record("weights", Problem.Kind.MISSING_KEY, detail);
-    } else if (!weights.contains(VERSION_PLACE)) {
-      table.record("weights", Problem.Kind.INVALID_VALUE, "must contain " + VERSION_PLACE);
+    } else if (!weightsLocation.contains(VERSION_PLACEHOLDER)) {
+      table.record("weights", Problem.Kind.INVALID_VALUE, "must contain " + VERSION_PLACEHOLDER);
     }
-    return new Adapter(current, versions, weights.replace(ADAPTER_PLACE, name));
+    return new Adapter(current, versions, weightsLocation.replace(ADAPTER_PLACEHOLDER, name));
   }
 
   private static void checkVersions(TomlChecker table, int current, List<Integer> versions) {
--- a/runtime/src/main/java/org/hornbeamusher/documents/StoredDocument.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/StoredDocument.java
@@ -3,15 +3,15 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * One accepted change as the table keeps it: the document's row and the audit row alike.
+ * One accepted change as stored in the table; the document's row and the audit row are the same.
  *
  * @param service the service
- * @param version the version this change made
+ * @param version the version that this change created
  * @param deleted whether it withdrew the service
  * @param author who submitted it; always the owner
- * @param acceptedMillis when it was accepted, by the clock of the entry that wrote it
- * @param submission tells this submission from others with the same text
- * @param text the TOML text; of a deletion, the text that was in force before
+ * @param acceptedMillis time of acceptance, by the clock of the entry that wrote it
+ * @param submission unique token that distinguishes it from other submissions of the same text
+ * @param text the TOML text; of a deletion, the text of the previous version
  */
 public record StoredDocument(
     ServiceName service,
@@ -23,7 +23,7 @@
     String text) {
 
   /**
-   * Reads the text.
+   * Parses the text.
    *
    * @return the document at this version
    * @throws org.hornbeamusher.failure.HornbeamusherException {@code PLATFORM_MALFORMED} when this
--- a/runtime/src/main/java/org/hornbeamusher/documents/Submission.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/Submission.java
@@ -3,21 +3,21 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * A change that somebody asks for.
+ * A requested change of a document.
  *
- * @param change what is to become of the service
+ * @param change the change
  * @param baseVersion the version it was based on; 0 for a service without a document
- * @param author whom the token stands for
- * @param token tells this submission from others, so that it recognises its own write
+ * @param author the author that the operator's token identifies
+ * @param token unique token by which the submission recognises its own write
  */
 record Submission(Change change, long baseVersion, Principal author, String token) {
 
-  /** What is to become of a service. */
+  /** Change of the document of a service. */
   sealed interface Change {
 
     ServiceName service();
 
-    /** The text becomes the document. */
+    /** Replaces the document. */
     record Replace(ServiceDocument document, String text) implements Change {
       @Override
       public ServiceName service() {
@@ -25,7 +25,7 @@
       }
     }
 
-    /** The service is withdrawn. */
+    /** Withdraws the service. */
     record Delete(ServiceName service) implements Change {}
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/documents/SubmitDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/SubmitDecision.java
@@ -10,28 +10,28 @@
 import org.hornbeamusher.table.Transaction.Write;
 
 /**
- * Decides what a submission leads to, from the rows as they were read.
+ * Decides the result of a submission from the rows that were read.
  *
  * <p>An accepted change writes the document's row, the partner's row and the audit row in one
- * transaction whose conditions are the revisions read here. So of two operators who read the same
- * version one commits and the other meets a conflict, and there is never a document without its
- * audit row.
+ * transaction, on condition that the revisions read here have not changed. So if two operators read
+ * the same version, one commits and the other gets a conflict, and there is never a document
+ * without its audit row.
  *
- * <p>Submitting the same text twice on the same base (because the answer to the first was lost) is
- * accepted both times and is one change.
+ * <p>Submitting the same text twice with the same base version (because the response to the first
+ * submission was lost) is accepted both times and makes one change.
  */
 sealed interface SubmitDecision {
 
-  /** Nothing is to be written. */
-  record Done(SubmitResult result) implements SubmitDecision {}
+  /** Nothing has to be written; the result is final. */
+  record NoWrite(SubmitResult result) implements SubmitDecision {}
 
-  /** The transaction decides; when it commits, this is the result. */
+  /** The transaction has to be committed; if it commits, the result is final. */
   record Commit(Transaction transaction, SubmitResult result) implements SubmitDecision {}
 
   /**
    * Decides.
    *
-   * @param submission what is asked for
+   * @param submission the requested change
    * @param documentRow the service's row
    * @param partnerRow the author's partner's row
    * @param now milliseconds
@@ -46,17 +46,17 @@
     }
     long currentVersion = current.map(StoredDocument::version).orElse(0L);
     if (currentVersion != submission.baseVersion()) {
-      return new Done(conflictOrRepeated(submission, current, currentVersion));
+      return new NoWrite(conflictOrDuplicate(submission, current, currentVersion));
     }
-    Optional<ChangeBudget> left = changes.budget().take(now);
-    if (left.isEmpty()) {
-      return new Done(limited(submission, changes, now));
+    Optional<ChangeBudget> remaining = changes.budget().take(now);
+    if (remaining.isEmpty()) {
+      return new NoWrite(rateLimited(submission, changes, now));
     }
-    Optional<StoredDocument> next = next(submission, current, currentVersion + 1, now);
+    Optional<StoredDocument> next = nextVersion(submission, current, currentVersion + 1, now);
     if (next.isEmpty()) {
-      return new Done(conflictOrRepeated(submission, current, currentVersion));
+      return new NoWrite(conflictOrDuplicate(submission, current, currentVersion));
     }
-    return accept(next.get(), changes, left.get(), documentRow, partnerRow);
+    return accept(next.get(), changes, remaining.get(), documentRow, partnerRow);
   }
 
   private static boolean mayChange(Submission submission, Optional<StoredDocument> current) {
@@ -70,12 +70,12 @@
     return ownsCurrent && ownsNext;
   }
 
-  private static SubmitResult conflictOrRepeated(
+  private static SubmitResult conflictOrDuplicate(
       Submission submission, Optional<StoredDocument> current, long currentVersion) {
-    boolean repeated =
+    boolean duplicate =
         currentVersion == submission.baseVersion() + 1
             && current.filter(stored -> sameChange(submission.change(), stored)).isPresent();
-    if (repeated) {
+    if (duplicate) {
       return new SubmitResult.Accepted(submission.change().service(), currentVersion);
     }
     return new SubmitResult.Conflict(
@@ -90,8 +90,8 @@
     };
   }
 
-  /** Empty when a service that has no document, or is withdrawn already, is to be withdrawn. */
-  private static Optional<StoredDocument> next(
+  /** Empty for the deletion of a service that has no document or is already withdrawn. */
+  private static Optional<StoredDocument> nextVersion(
       Submission submission, Optional<StoredDocument> current, long version, long now) {
     return switch (submission.change()) {
       case Submission.Change.Replace replace ->
@@ -118,13 +118,14 @@
   private static SubmitDecision accept(
       StoredDocument next,
       PartnerChanges changes,
-      ChangeBudget left,
+      ChangeBudget remaining,
       Optional<Row> documentRow,
       Optional<Row> partnerRow) {
     PartnerId partner = next.author().partner();
     RowKey document = DocumentRows.document(next.service());
     RowKey audit = DocumentRows.audit(partner, next.service(), next.version());
-    PartnerChanges counted = changes.accepted(next.service(), next.version(), left);
+    PartnerChanges updatedChanges =
+        changes.withAcceptedChange(next.service(), next.version(), remaining);
     byte[] value = DocumentRows.encodeDocument(next);
     Transaction transaction =
         new Transaction(
@@ -134,34 +135,35 @@
                 new Condition.Absent(audit)),
             List.of(
                 new Write.Put(document, value),
-                new Write.Put(DocumentRows.partner(partner), DocumentRows.encodeChanges(counted)),
+                new Write.Put(
+                    DocumentRows.partner(partner), DocumentRows.encodeChanges(updatedChanges)),
                 new Write.Put(audit, value)));
     return new Commit(transaction, new SubmitResult.Accepted(next.service(), next.version()));
   }
 
-  /** The attempt is charged to its author, so that a storm of them cannot fill another's trail. */
+  /** Charges the attempt to its author, so that many of them cannot fill another's audit trail. */
   private static SubmitDecision refuse(
       Submission submission,
       Optional<StoredDocument> current,
       PartnerChanges changes,
       Optional<Row> partnerRow,
       long now) {
-    Optional<ChangeBudget> left = changes.budget().take(now);
-    if (left.isEmpty()) {
-      return new Done(limited(submission, changes, now));
+    Optional<ChangeBudget> remaining = changes.budget().take(now);
+    if (remaining.isEmpty()) {
+      return new NoWrite(rateLimited(submission, changes, now));
     }
     PartnerId author = submission.author().partner();
     RefusedAttempt attempt =
         new RefusedAttempt(submission.change().service(), submission.author(), now);
-    RowKey trail = DocumentRows.attempt(owner(submission, current), attempt, submission.token());
+    RowKey auditKey = DocumentRows.attempt(owner(submission, current), attempt, submission.token());
     Transaction transaction =
         new Transaction(
             List.of(unchanged(DocumentRows.partner(author), partnerRow)),
             List.of(
                 new Write.Put(
                     DocumentRows.partner(author),
-                    DocumentRows.encodeChanges(changes.charged(left.get()))),
-                new Write.Put(trail, DocumentRows.encodeAttempt(attempt))));
+                    DocumentRows.encodeChanges(changes.withBudget(remaining.get()))),
+                new Write.Put(auditKey, DocumentRows.encodeAttempt(attempt))));
     return new Commit(transaction, new SubmitResult.Forbidden(submission.change().service()));
   }
 
@@ -175,9 +177,9 @@
     };
   }
 
-  private static SubmitResult limited(Submission submission, PartnerChanges changes, long now) {
-    long wait = changes.budget().waitMillis(now);
-    return new SubmitResult.RateLimited(submission.author().partner(), wait);
+  private static SubmitResult rateLimited(Submission submission, PartnerChanges changes, long now) {
+    long waitMillis = changes.budget().waitMillis(now);
+    return new SubmitResult.RateLimited(submission.author().partner(), waitMillis);
   }
 
   private static Condition unchanged(RowKey key, Optional<Row> row) {
--- a/runtime/src/main/java/org/hornbeamusher/documents/SubmitResult.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/SubmitResult.java
@@ -7,11 +7,11 @@
 import org.hornbeamusher.ids.ServiceName;
 import org.hornbeamusher.toml.Problems;
 
-/** How a submission ended. */
+/** Result of a submission. */
 public sealed interface SubmitResult {
 
   /**
-   * Returns what the operator is told when the document was not accepted.
+   * Returns the failure that is reported to the operator when the document was not accepted.
    *
    * @return empty for {@link Accepted}
    */
@@ -39,42 +39,42 @@
   }
 
   /**
-   * The document is the truth from now on.
+   * The document was accepted and is the current one.
    *
    * @param service the service
-   * @param version the version it was given
+   * @param version the version that it got
    */
   record Accepted(ServiceName service, long version) implements SubmitResult {}
 
   /**
-   * The text is wrong; nothing changed.
+   * The text is invalid; nothing changed.
    *
-   * @param problems everything that is wrong, by line
+   * @param problems all problems, ordered by line
    */
   record Invalid(Problems problems) implements SubmitResult {}
 
   /**
-   * Somebody else's change came first; nothing changed.
+   * The base version is not the current version; nothing changed.
    *
    * @param service the service
-   * @param baseVersion what the submission was based on
-   * @param currentVersion what is in force; 0 when the service has no document
+   * @param baseVersion the version that the submission was based on
+   * @param currentVersion the current version; 0 when the service has no document
    */
   record Conflict(ServiceName service, long baseVersion, long currentVersion)
       implements SubmitResult {}
 
   /**
-   * The token's team does not own the document; the attempt is in the owner's trail.
+   * The token's team does not own the document; the attempt is in the owner's audit trail.
    *
    * @param service the service
    */
   record Forbidden(ServiceName service) implements SubmitResult {}
 
   /**
-   * The partner made too many changes; nothing changed.
+   * The partner's rate limit of changes is exceeded; nothing changed.
    *
    * @param partner the partner
-   * @param retryAfterMillis when one more is allowed, from now
+   * @param retryAfterMillis time until the next change is allowed
    */
   record RateLimited(PartnerId partner, long retryAfterMillis) implements SubmitResult {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/documents/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/package-info.java
@@ -1,2 +1,2 @@
-/** Service documents: what a team declares about one service, and how it changes. */
+/** Service documents: declarations of services by their teams, and how they are changed. */
 package org.hornbeamusher.documents;
--- a/runtime/src/test/java/org/hornbeamusher/documents/FollowedTable.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/AfterCommitTable.java
@@ -9,15 +9,15 @@
 import org.hornbeamusher.table.Table;
 import org.hornbeamusher.table.Transaction;
 
-/** Lets something happen right after the first commit, before its caller does anything else. */
-class FollowedTable implements Table {
+/** Runs an action directly after the first commit, before the caller gets its result. */
+class AfterCommitTable implements Table {
 
   private final Table table;
-  private Runnable after;
+  private Runnable afterFirstCommit;
 
-  FollowedTable(Table table, Runnable after) {
+  AfterCommitTable(Table table, Runnable afterFirstCommit) {
     this.table = table;
-    this.after = after;
+    this.afterFirstCommit = afterFirstCommit;
   }
 
   @Override
@@ -33,8 +33,8 @@
   @Override
   public CompletableFuture<CommitResult> commit(Transaction transaction) {
     CompletableFuture<CommitResult> result = table.commit(transaction);
-    Runnable next = after;
-    after = () -> {};
+    Runnable next = afterFirstCommit;
+    afterFirstCommit = () -> {};
     next.run();
     return result;
   }
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentDeltaTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentDeltaTest.java
@@ -19,7 +19,7 @@
 class DocumentDeltaTest {
 
   @Property(seed = "33", tries = 300)
-  void differenceLeadsFromAnyVersionToAnyOther(
+  void deltaTurnsAnyVersionIntoAnyOther(
       @ForAll @Size(max = 8) Map<@IntRange(max = 9) Integer, @IntRange(min = 1, max = 3) Integer> a,
       @ForAll @Size(max = 8)
           Map<@IntRange(max = 9) Integer, @IntRange(min = 1, max = 3) Integer> b) {
@@ -35,30 +35,30 @@
   }
 
   /**
-   * A process holds a version in between that the sender did not know of. Applying the difference
-   * would make a document that no operator ever submitted.
+   * Guards against applying a delta to a version between its two versions, which the sender did not
+   * know of. The result would be a document that no operator submitted.
    */
   @Test
-  void differenceDoesNotApplyToAnotherVersion() {
+  void deltaDoesNotApplyToAnotherVersion() {
     DocumentDelta delta = DocumentDelta.between(document(1, Map.of()), document(3, Map.of(1, 1)));
 
     assertEquals(Optional.empty(), delta.applyTo(document(2, Map.of())));
   }
 
   @Test
-  void gapInDifferencesMakesTheHolderSendTheWholeDocument() {
-    DocumentHolder holder = new DocumentHolder();
-    holder.offer(document(1, Map.of()));
-    holder.offer(document(4, Map.of(1, 1)));
+  void fullDocumentIsSentWhenDeltasHaveGap() {
+    DocumentHolder latestDocuments = new DocumentHolder();
+    latestDocuments.offer(document(1, Map.of()));
+    latestDocuments.offer(document(4, Map.of(1, 1)));
 
     assertEquals(
         new DocumentUpdate.Whole(document(4, Map.of(1, 1))),
-        holder.updateSince(document(1, Map.of()).service(), 2));
+        latestDocuments.updateSince(document(1, Map.of()).service(), 2));
   }
 
-  /** The figures of docs/DOCUMENTS.md rest on this relation. */
+  /** The figures in docs/DOCUMENTS.md are based on this ratio. */
   @Test
-  void differenceOfOneAdapterIsSmallAgainstTheDocument() {
+  void deltaOfOneAdapterIsSmallComparedToTheDocument() {
     ServiceDocument older = read(DocumentTexts.manyAdapters(3_000)).at(1, false);
     ServiceDocument newer = read(DocumentTexts.manyAdapters(3_001)).at(2, false);
     int whole = DocumentCodec.encodeUpdate(new DocumentUpdate.Whole(newer)).length;
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentSpreadTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentSpreadTest.java
@@ -18,11 +18,11 @@
 import org.hornbeamusher.membership.ConnectionPlan.Place;
 
 /**
- * How long a change takes to reach 400 entries and 1,400 agents in 15 availability zones.
+ * Simulates how long a change takes to reach 400 entries and 1,400 agents in 15 availability zones.
  *
  * <p>An earliest-arrival search over the connections that {@link ConnectionPlan} chooses: an entry
- * learns of the change by its own poll or from a neighbour, whose next heartbeat comes within a
- * second and is followed by the questions for digest and document.
+ * learns of the change by its own poll or from a neighbour, whose next heartbeat arrives within a
+ * second and is followed by the requests for digest and document.
  */
 class DocumentSpreadTest {
 
@@ -31,7 +31,7 @@
   private static final int ZONES = 15;
   private static final double HEARTBEAT_MILLIS = 1_000;
 
-  /** Heartbeat, two questions and two answers between regions far apart. */
+  /** Heartbeat, two requests and two responses between distant regions, 150 ms each. */
   private static final double TRANSFER_MILLIS = 5 * 150;
 
   private static final double BOUND_MILLIS = 7_000;
@@ -39,7 +39,8 @@
   private record Arrival(int node, double millis) {}
 
   @Property(seed = "34", tries = 10)
-  void changeIsEverywhereInTimeAtTheSizeToCome(@ForAll @LongRange(min = 1, max = 9_999) long seed) {
+  void changeReachesAllProcessesInTimeAtPlannedSize(
+      @ForAll @LongRange(min = 1, max = 9_999) long seed) {
     double[] arrivals = arrivals(new Random(seed));
 
     double last = Arrays.stream(arrivals).max().orElseThrow();
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentStoreTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentStoreTest.java
@@ -23,16 +23,16 @@
 
   private static final ServiceName DISPATCH = new ServiceName("lm-dispatch");
   private static final Principal OWNER = principal("zarqa", "dispatch");
-  private static final Principal STRANGER = principal("tawhiti", "valuations");
+  private static final Principal OTHER_PARTNER = principal("tawhiti", "valuations");
 
   private final MemoryTable table = new MemoryTable();
   private final ManualClock clock = new ManualClock(1_000_000);
-  private int drawn;
+  private int tokenCount;
   private final DocumentStore store =
-      new DocumentStore(table, clock, () -> "submission-" + ++drawn);
+      new DocumentStore(table, clock, () -> "submission-" + ++tokenCount);
 
   @Test
-  void acceptsVersionsInOrderAndKeepsThemInTheTrail() {
+  void acceptsVersionsInOrderAndKeepsThemInTheAuditTrail() {
     assertEquals(accepted(1), submit(7, 0));
     assertEquals(accepted(2), submit(8, 1));
 
@@ -44,11 +44,11 @@
   }
 
   /**
-   * Two operators open version 1 and submit different changes. The second is told which version is
-   * in force and which one it was based on, and the first change stands.
+   * Two operators submit different changes of version 1. The second gets a conflict with the
+   * current version and its base version, and the first change stays.
    */
   @Test
-  void laterOfTwoRacingOperatorsSeesBothVersions() {
+  void laterOfTwoConcurrentOperatorsSeesBothVersions() {
     submit(7, 0);
     submit(8, 1);
 
@@ -61,11 +61,11 @@
   }
 
   /**
-   * Both operators read version 1 before either commits. The compare-and-set lets one through; the
-   * other must not overwrite it unseen.
+   * Two operators read version 1 before either commits. The compare-and-set accepts one; the other
+   * must not overwrite it.
    */
   @Test
-  void raceBetweenReadAndCommitIsFound() {
+  void raceBetweenReadAndCommitIsDetected() {
     submit(7, 0);
     table.beforeNextCommit(() -> submit(8, 1));
 
@@ -74,11 +74,11 @@
   }
 
   /**
-   * Another team of the partner submits another service at the same moment, so the partner's row
-   * moves under the submission. The operator notices nothing.
+   * Another team of the partner submits another service at the same time, so the partner's row
+   * changes between read and commit. The submission must be retried and accepted.
    */
   @Test
-  void raceForThePartnersRowIsRepeated() {
+  void raceForThePartnersRowIsRetried() {
     String other = DocumentTexts.dispatch(5).replace("lm-dispatch", "lm-other");
     table.beforeNextCommit(() -> store.submit("o.toml", other, 0, OWNER).join());
 
@@ -87,11 +87,11 @@
   }
 
   /**
-   * The table applies the change and its answer is lost. The operator must be told that the change
-   * was accepted, and there must be one change, not two.
+   * The table commits the change and its response is lost. The operator must get the result that
+   * the change was accepted, and there must be one change, not two.
    */
   @Test
-  void lostAnswerIsSettledByReadingBack() {
+  void lostResponseIsResolvedByReadingBack() {
     table.loseAnswers(1);
 
     assertEquals(accepted(1), submit(7, 0));
@@ -99,15 +99,17 @@
   }
 
   /**
-   * The answer is lost, and before it is read back a colleague's change follows. The operator's
-   * change was accepted all the same and must not be reported as a conflict.
+   * The response is lost, and another operator's change follows before the row is read back. The
+   * first change was accepted and must not be reported as a conflict.
    */
   @Test
-  void lostAnswerIsSettledThoughAnotherChangeFollowed() {
+  void lostResponseIsResolvedAfterAnotherChange() {
     table.loseAnswers(1);
     CompletableFuture<SubmitResult> first =
         new DocumentStore(
-                new FollowedTable(table, () -> submit(8, 1)), clock, () -> "the-first-submission")
+                new AfterCommitTable(table, () -> submit(8, 1)),
+                clock,
+                () -> "the-first-submission")
             .submit("f.toml", DocumentTexts.dispatch(7), 0, OWNER);
 
     assertEquals(accepted(1), first.join());
@@ -115,14 +117,15 @@
   }
 
   /**
-   * Every answer is lost. What the operator is told must not claim that nothing happened; a second
-   * submission of the same text finds the change that was made.
+   * The response is lost and the row cannot be read back. The failure must have an unknown outcome;
+   * a second submission of the same text finds the change that was made.
    */
   @Test
-  void answersLostForGoodLeaveTheOutcomeUnknown() {
+  void lostResponseWithoutReadBackLeavesTheOutcomeUnknown() {
     table.loseAnswers(1);
     CompletableFuture<SubmitResult> result =
-        new DocumentStore(new FollowedTable(table, () -> table.down(true)), clock, () -> "s-first")
+        new DocumentStore(
+                new AfterCommitTable(table, () -> table.down(true)), clock, () -> "s-first")
             .submit("f.toml", DocumentTexts.dispatch(7), 0, OWNER);
 
     HornbeamusherException failure = failure(result);
@@ -134,22 +137,22 @@
   }
 
   /**
-   * A team submits a document that belongs to the other partner. Nothing changes, and the owner
-   * finds the attempt in its own trail.
+   * A team submits a document that belongs to another partner. Nothing changes, and the owner finds
+   * the attempt in its own audit trail.
    */
   @Test
-  void strangersAttemptIsRefusedAndShownToTheOwner() {
+  void changeByAnotherPartnerIsRefusedAndShownToTheOwner() {
     submit(7, 0);
     String stolen = DocumentTexts.valuer(9).replace("valuer-llm", "lm-dispatch");
 
-    SubmitResult result = store.submit("f.toml", stolen, 1, STRANGER).join();
+    SubmitResult result = store.submit("f.toml", stolen, 1, OTHER_PARTNER).join();
 
     assertEquals(new SubmitResult.Forbidden(DISPATCH), result);
     assertEquals(7, store.read(DISPATCH).join().orElseThrow().limits().queue());
     assertEquals(
-        List.of(new RefusedAttempt(DISPATCH, STRANGER, 1_000_000)),
+        List.of(new RefusedAttempt(DISPATCH, OTHER_PARTNER, 1_000_000)),
         store.attempts(DISPATCH, OWNER, 0, 10).join());
-    assertEquals(List.of(), store.attempts(DISPATCH, STRANGER, 0, 10).join());
+    assertEquals(List.of(), store.attempts(DISPATCH, OTHER_PARTNER, 0, 10).join());
   }
 
   @Test
@@ -164,15 +167,16 @@
     submit(7, 0);
 
     assertEquals(
-        FailureType.DOCUMENT_FORBIDDEN, failure(store.history(DISPATCH, STRANGER, 0, 9)).type());
+        FailureType.DOCUMENT_FORBIDDEN,
+        failure(store.history(DISPATCH, OTHER_PARTNER, 0, 9)).type());
   }
 
   /**
-   * A script of one partner submits in a loop. It is slowed down to one change a second; the other
-   * partner's change goes through at the same moment.
+   * A script of one partner submits in a loop. It is limited to one change a second; the other
+   * partner's change is accepted at the same time.
    */
   @Test
-  void stormOfOnePartnerIsThrottledWithoutTheOther() {
+  void rateLimitOfOnePartnerDoesNotAffectTheOther() {
     for (int i = 0; i < ChangeBudget.BURST; i++) {
       assertInstanceOf(SubmitResult.Accepted.class, submit(i + 1, i));
     }
@@ -182,13 +186,13 @@
         submit(999, ChangeBudget.BURST));
     assertInstanceOf(
         SubmitResult.Accepted.class,
-        store.submit("v.toml", DocumentTexts.valuer(5), 0, STRANGER).join());
+        store.submit("v.toml", DocumentTexts.valuer(5), 0, OTHER_PARTNER).join());
     clock.advance(ChangeBudget.REFILL_MILLIS);
     assertEquals(accepted(ChangeBudget.BURST + 1), submit(999, ChangeBudget.BURST));
   }
 
   @Test
-  void deletionIsVersionAndServiceCanReturn() {
+  void deletionIsVersionAndServiceCanBeSubmittedAgain() {
     submit(7, 0);
 
     assertEquals(accepted(2), store.delete(DISPATCH, 1, OWNER).join());
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentSyncTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentSyncTest.java
@@ -28,10 +28,10 @@
 
   private final MemoryTable table = new MemoryTable();
   private final ManualClock clock = new ManualClock(1_000_000);
-  private final DocumentStore store = new DocumentStore(table, clock, () -> "token-" + drawn());
-  private final Process first = new Process();
-  private final Process second = new Process();
-  private int drawn;
+  private final DocumentStore store = new DocumentStore(table, clock, () -> "token-" + nextToken());
+  private final TestPeer first = new TestPeer();
+  private final TestPeer second = new TestPeer();
+  private int tokenCount;
 
   @Test
   void pollReadsOnlyWhatIsNewer() {
@@ -46,79 +46,79 @@
   }
 
   /**
-   * The table is down when a process starts. Its callers are served all the same, because the first
-   * peer it meets has every document.
+   * The table is unavailable when a process starts. It must get the documents from the first peer
+   * it connects to.
    */
   @Test
-  void processStartedDuringOutageLearnsFromPeer() {
+  void processStartedDuringOutageReadsFromPeer() {
     submit(7, 0);
     first.sync.poll().join();
     table.down(true);
     second.sync.poll().join();
 
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.heard(first, first.latestDocuments.digestHash());
 
-    assertEquals(7, second.holder.current(DISPATCH).orElseThrow().limits().queue());
+    assertEquals(7, second.latestDocuments.current(DISPATCH).orElseThrow().limits().queue());
   }
 
   @Test
-  void changeTravelsAsDifference() {
+  void changeIsSentAsDelta() {
     submit(7, 0);
     first.sync.poll().join();
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.heard(first, first.latestDocuments.digestHash());
     submit(8, 1);
     submit(9, 2);
     first.sync.poll().join();
 
-    second.sync.heard(first, first.holder.digestHash());
+    second.sync.heard(first, first.latestDocuments.digestHash());
 
     assertInstanceOf(DocumentUpdate.Differences.class, first.sent.get(1));
     assertEquals(List.of(1L, 3L), second.versions);
-    assertEquals(first.holder.digestHash(), second.holder.digestHash());
+    assertEquals(first.latestDocuments.digestHash(), second.latestDocuments.digestHash());
   }
 
   /**
-   * Heartbeats of a peer that is behind repeat the same hash every second. Asking it for its digest
-   * each time would cost more than the heartbeats themselves.
+   * Heartbeats of a peer with older versions repeat the same hash every second. Requesting its
+   * digest each time would cost more than the heartbeats themselves.
    */
   @Test
-  void peerThatIsBehindIsAskedOnce() {
+  void digestOfOutdatedPeerIsRequestedOnce() {
     submit(7, 0);
     first.sync.poll().join();
 
-    first.sync.heard(second, second.holder.digestHash());
-    first.sync.heard(second, second.holder.digestHash());
+    first.sync.heard(second, second.latestDocuments.digestHash());
+    first.sync.heard(second, second.latestDocuments.digestHash());
 
-    assertEquals(1, second.digests);
+    assertEquals(1, second.digestRequests);
   }
 
   /**
-   * The connection goes silent between the question and the answer, for good. The next heartbeat of
-   * any peer after the patience must ask again, or this process would keep the old version.
+   * The connection stops delivering for good between request and response. The next heartbeat of
+   * any peer after the timeout must start another pull, or this process would keep the old version.
    */
   @Test
-  void unansweredPullIsRepeatedAfterPatience() {
+  void pullWithoutResponseIsRetriedAfterTimeout() {
     submit(7, 0);
     first.sync.poll().join();
-    first.silent = true;
-    second.sync.heard(first, first.holder.digestHash());
-    first.silent = false;
-    second.sync.heard(first, first.holder.digestHash());
-    assertTrue(second.holder.all().isEmpty());
+    first.unresponsive = true;
+    second.sync.heard(first, first.latestDocuments.digestHash());
+    first.unresponsive = false;
+    second.sync.heard(first, first.latestDocuments.digestHash());
+    assertTrue(second.latestDocuments.all().isEmpty());
 
-    clock.advance(PullLedger.PATIENCE_MILLIS);
-    second.sync.heard(first, first.holder.digestHash());
+    clock.advance(PullLedger.PULL_TIMEOUT_MILLIS);
+    second.sync.heard(first, first.latestDocuments.digestHash());
 
-    assertEquals(1, second.holder.all().size());
+    assertEquals(1, second.latestDocuments.all().size());
   }
 
-  /** Guards against polls of many documents that run beside each other over a thin link. */
+  /** Guards against concurrent polls of many documents over a slow link. */
   @Test
-  void pollUnderWayIsNotDoubled() {
+  void secondPollJoinsTheOneInProgress() {
     AtomicInteger scans = new AtomicInteger();
     CompletableFuture<List<Row>> answer = new CompletableFuture<>();
     Table slow =
-        new FollowedTable(table, () -> {}) {
+        new AfterCommitTable(table, () -> {}) {
           @Override
           public CompletableFuture<List<Row>> scan(
               String name, String prefix, String after, int limit) {
@@ -143,32 +143,32 @@
     assertEquals(2, scans.get());
   }
 
-  /** Guards against a large document that is asked for again and again while it arrives. */
+  /** Guards against requesting a large document again and again while it arrives. */
   @Test
-  void pullThatIsStillArrivingIsNotRepeated() {
+  void pullWhoseResponseIsArrivingIsNotRetried() {
     submit(7, 0);
     first.sync.poll().join();
-    first.silent = true;
-    first.arriving = true;
-    second.sync.heard(first, first.holder.digestHash());
-    first.silent = false;
+    first.unresponsive = true;
+    first.receiving = true;
+    second.sync.heard(first, first.latestDocuments.digestHash());
+    first.unresponsive = false;
 
-    clock.advance(PullLedger.PATIENCE_MILLIS);
-    second.sync.heard(first, first.holder.digestHash());
+    clock.advance(PullLedger.PULL_TIMEOUT_MILLIS);
+    second.sync.heard(first, first.latestDocuments.digestHash());
     assertEquals(0, first.sent.size());
 
-    first.arriving = false;
-    second.sync.heard(first, first.holder.digestHash());
+    first.receiving = false;
+    second.sync.heard(first, first.latestDocuments.digestHash());
     assertEquals(1, first.sent.size());
   }
 
   /**
-   * A later release wrote a document with a key this one does not know, as happens in the middle of
-   * an upgrade. The other documents must still come into force.
+   * A later release wrote a document with a key that this one does not know, as happens during an
+   * upgrade. The other documents must still become current.
    */
   @Test
-  void unreadableDocumentDoesNotKeepOthersOut() {
-    store.submit("v", DocumentTexts.valuer(5), 0, stranger()).join();
+  void unreadableDocumentDoesNotBlockOthers() {
+    store.submit("v", DocumentTexts.valuer(5), 0, otherPartner()).join();
     submit(7, 0);
     StoredDocument strange =
         new StoredDocument(DISPATCH, 1, false, OWNER, 1, "s", "new_key = true\n");
@@ -183,54 +183,54 @@
 
     first.sync.poll().join();
 
-    assertEquals(1, first.holder.all().size());
+    assertEquals(1, first.latestDocuments.all().size());
   }
 
-  private static Principal stranger() {
+  private static Principal otherPartner() {
     return new Principal(new PartnerId("tawhiti"), new TeamId("valuations"));
   }
 
-  private int drawn() {
-    return ++drawn;
+  private int nextToken() {
+    return ++tokenCount;
   }
 
   private void submit(int queue, long base) {
     store.submit("f", DocumentTexts.dispatch(queue), base, OWNER).join();
   }
 
-  private final class Process implements DocumentPeer {
+  private final class TestPeer implements DocumentPeer {
 
-    private final DocumentHolder holder = new DocumentHolder();
+    private final DocumentHolder latestDocuments = new DocumentHolder();
     private final DocumentSync sync =
-        new DocumentSync(holder, store, clock, PollPlan.STANDARD, () -> 1, new Random(1));
+        new DocumentSync(latestDocuments, store, clock, PollPlan.STANDARD, () -> 1, new Random(1));
     private final List<Long> versions = new ArrayList<>();
     private final List<DocumentUpdate> sent = new ArrayList<>();
-    private int digests;
-    private boolean silent;
-    private boolean arriving;
+    private int digestRequests;
+    private boolean unresponsive;
+    private boolean receiving;
 
-    Process() {
+    TestPeer() {
       sync.listen(document -> versions.add(document.version()));
     }
 
     @Override
     public CompletableFuture<Map<ServiceName, Long>> digest() {
-      digests++;
+      digestRequests++;
       return CompletableFuture.completedFuture(
-          DocumentCodec.decodeDigest(DocumentCodec.encodeDigest(holder.digest())));
+          DocumentCodec.decodeDigest(DocumentCodec.encodeDigest(latestDocuments.digest())));
     }
 
     @Override
     public boolean receiving() {
-      return arriving;
+      return receiving;
     }
 
     @Override
     public CompletableFuture<DocumentUpdate> pull(ServiceName service, long haveVersion) {
-      if (silent) {
+      if (unresponsive) {
         return new CompletableFuture<>();
       }
-      DocumentUpdate update = holder.updateSince(service, haveVersion);
+      DocumentUpdate update = latestDocuments.updateSince(service, haveVersion);
       sent.add(update);
       return CompletableFuture.completedFuture(
           DocumentCodec.decodeUpdate(DocumentCodec.encodeUpdate(update)));
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentTexts.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentTexts.java
@@ -1,6 +1,6 @@
 package org.hornbeamusher.documents;
 
-/** Texts that tests submit. */
+/** Document texts for tests. */
 final class DocumentTexts {
 
   private static final String DISPATCH =
--- a/runtime/src/test/java/org/hornbeamusher/documents/PollPlanTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/PollPlanTest.java
@@ -19,7 +19,7 @@
   }
 
   @Test
-  void fourHundredEntriesTogetherMakeTwentyReadsSecond() {
+  void fourHundredEntriesTogetherMakeTwentyReadsPerSecond() {
     assertEquals(20_000, plan.intervalMillis(400));
   }
 
@@ -31,11 +31,11 @@
   }
 
   /**
-   * Everything restarts at once. Were the first polls not spread, 400 entries would each read every
-   * document within the same second.
+   * All processes restart at once. If the first polls were not spread, 400 entries would each read
+   * every document within the same second.
    */
   @Property(seed = "31", tries = 200)
-  void restartOfEverythingIsSpreadOverOneInterval(
+  void firstPollsAfterFullRestartAreSpreadOverOneInterval(
       @ForAll @DoubleRange(min = 0, max = 1) double random) {
     long delay = plan.firstDelayMillis(400, random);
 
@@ -43,7 +43,7 @@
   }
 
   @Property(seed = "32", tries = 500)
-  void delaysStayBetweenHalfAndOneAndHalf(
+  void delaysStayBetweenHalfAndOneAndHalfIntervals(
       @ForAll @IntRange(min = 1, max = 2_000) int pollers,
       @ForAll @IntRange(max = 1_000) int failures,
       @ForAll @DoubleRange(min = 0, max = 1) double random) {
