--- a/runtime/src/main/java/org/hornbeamusher/settings/AgentSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/AgentSettings.java
@@ -12,20 +12,20 @@
 import org.hornbeamusher.wire.WireSettings;
 
 /**
- * What an agent is told when it starts.
+ * Settings that an agent reads at startup.
  *
  * @param instance the process's name, unique in its deployment
  * @param zone the availability zone it runs in
- * @param endpoint the endpoint beside it
+ * @param endpoint the endpoint that the agent runs beside
  * @param pool the pool the endpoint belongs to
- * @param endpointUri where the endpoint is reached
- * @param listen where entries reach the agent
- * @param http where operators read metrics and status and start a drain
- * @param platform the platform's service
- * @param operators who may read and drain
- * @param capacity what the endpoint can do
- * @param wire intervals and bounds of the connections to entries
- * @param peerTls keys shown to entries; empty for plain connections
+ * @param endpointUri the endpoint's URI
+ * @param listen the listener for connections of entries
+ * @param http the listener on which operators read metrics and status and start a drain
+ * @param platform the URI of the platform's service
+ * @param operators operators that may read, and drain if permitted
+ * @param capacity the endpoint's capacity
+ * @param wire intervals and limits of the connections to entries
+ * @param peerTls TLS files for the connections to entries; empty for plaintext connections
  */
 public record AgentSettings(
     InstanceId instance,
@@ -47,15 +47,15 @@
   }
 
   /**
-   * Creates settings on the loopback address with default figures, for tests and the demo.
+   * Creates settings for the loopback address with default values, for tests and the demo.
    *
    * @param instance the process's name
    * @param zone the availability zone
-   * @param endpoint the endpoint beside it
+   * @param endpoint the endpoint that the agent runs beside
    * @param pool the endpoint's pool
-   * @param endpointUri where the endpoint is reached
-   * @param platform the platform's service
-   * @param capacity what the endpoint can do
+   * @param endpointUri the endpoint's URI
+   * @param platform the URI of the platform's service
+   * @param capacity the endpoint's capacity
    * @return the settings
    */
   public static AgentSettings loopback(
@@ -86,19 +86,19 @@
    *
    * @param file a TOML file with {@code role = "agent"}
    * @return the settings
-   * @throws org.hornbeamusher.failure.HornbeamusherException {@code SETTINGS_INVALID} that carries
-   *     every fault as {@link org.hornbeamusher.toml.Problems}
+   * @throws org.hornbeamusher.failure.HornbeamusherException {@code SETTINGS_INVALID} with all
+   *     problems as {@link org.hornbeamusher.toml.Problems}
    */
   public static AgentSettings read(Path file) {
     return AgentSettingsReader.read(file);
   }
 
   /**
-   * Makes the directory of the tokens in these settings.
+   * Creates the directory of the tokens in these settings.
    *
-   * @return the operators
+   * @return the directory of the operators' tokens
    */
   public TokenDirectory tokens() {
-    return new TokenDirectory(operators.stream().map(OperatorSettings::entry).toList());
+    return new TokenDirectory(operators.stream().map(OperatorSettings::tokenEntry).toList());
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/settings/AgentSettingsReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/AgentSettingsReader.java
@@ -16,7 +16,7 @@
 import org.hornbeamusher.toml.TomlDocument;
 import org.hornbeamusher.wire.WireSettings;
 
-/** Binds an agent's file. Every key is read before the check ends, so that all faults show. */
+/** Reads an agent's settings file. All keys are read first, so that all problems are reported. */
 final class AgentSettingsReader {
 
   private static final int MAX_SLOTS = 4_096;
@@ -30,15 +30,15 @@
 
   static AgentSettings read(Path file) {
     TomlChecker top = TomlDocument.read(file).checker();
-    SharedTables shared = new SharedTables(file);
-    SharedTables.role(top, "agent");
+    SharedTablesReader shared = new SharedTablesReader(file);
+    SharedTablesReader.checkRole(top, "agent");
     InstanceId instance = top.value("instance", InstanceId::new);
     AvailabilityZone zone = top.value("zone", AvailabilityZone::new);
-    URI platform = SharedTables.uri(top, "platform");
+    URI platform = SharedTablesReader.uri(top, "platform");
     TomlChecker endpointTable = top.table("endpoint");
     EndpointId endpoint = endpointTable.value("id", EndpointId::new);
     PoolName pool = endpointTable.value("pool", PoolName::new);
-    URI endpointUri = SharedTables.uri(endpointTable, "uri");
+    URI endpointUri = SharedTablesReader.uri(endpointTable, "uri");
     CapacitySettings capacity = capacity(endpointTable);
     ListenSettings listen = shared.listen(top.table("listen"));
     ListenSettings http = shared.listen(top.table("http"));
@@ -46,7 +46,7 @@
     WireSettings wire = shared.wire(wireTable);
     Optional<TlsSettings> peerTls = shared.peerTls(wireTable);
     List<OperatorSettings> operators = shared.operators(top);
-    SharedTables.requireDistinctTokens(top, List.of(), operators);
+    SharedTablesReader.requireDistinctTokens(top, List.of(), operators);
     top.finish(FailureType.SETTINGS_INVALID);
     return new AgentSettings(
         instance,
@@ -65,27 +65,30 @@
 
   private static CapacitySettings capacity(TomlChecker table) {
     EndpointKind kind = table.value("kind", EndpointKind::parse);
-    CapacitySettings standard = CapacitySettings.of(kind);
+    CapacitySettings defaults = CapacitySettings.of(kind);
     return new CapacitySettings(
         kind,
-        table.bool("fencing", standard.fencing()),
-        optional(table, "slots", MAX_SLOTS),
-        optional(table, "batch", MAX_BATCH),
-        (int) table.integer("queue", 1, MAX_QUEUE, standard.queueLimit()),
+        table.bool("fencing", defaults.fencing()),
+        optionalInteger(table, "slots", MAX_SLOTS),
+        optionalInteger(table, "batch", MAX_BATCH),
+        (int) table.integer("queue", 1, MAX_QUEUE, defaults.queueLimit()),
         table.number(
             "tokens_per_second",
             MIN_TOKENS_PER_SECOND,
             MAX_TOKENS_PER_SECOND,
-            standard.tokensPerSecond()),
-        table.integer("load_ms", 1, SharedTables.MAX_INTERVAL_MILLIS, standard.loadMillis()),
+            defaults.tokensPerSecond()),
+        table.integer("load_ms", 1, SharedTablesReader.MAX_INTERVAL_MILLIS, defaults.loadMillis()),
         table.integer(
-            "minimum_stay_ms", 0, SharedTables.MAX_INTERVAL_MILLIS, standard.minimumStayMillis()),
-        table.string("weight_store", standard.weightStore()),
+            "minimum_stay_ms",
+            0,
+            SharedTablesReader.MAX_INTERVAL_MILLIS,
+            defaults.minimumStayMillis()),
+        table.string("weight_store", defaults.weightStore()),
         shares(table.optionalTable("partner_shares")));
   }
 
-  private static Optional<Integer> optional(TomlChecker table, String key, int most) {
-    return table.has(key) ? Optional.of((int) table.integer(key, 1, most)) : Optional.empty();
+  private static Optional<Integer> optionalInteger(TomlChecker table, String key, int maximum) {
+    return table.has(key) ? Optional.of((int) table.integer(key, 1, maximum)) : Optional.empty();
   }
 
   private static Map<PartnerId, Integer> shares(TomlChecker table) {
--- a/runtime/src/main/java/org/hornbeamusher/settings/CallerSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/CallerSettings.java
@@ -7,12 +7,12 @@
 import org.hornbeamusher.security.TokenHash;
 
 /**
- * Someone who may send requests.
+ * A caller that may send requests.
  *
  * @param id the caller
  * @param partner the partner it belongs to
  * @param token the hash of its token
- * @param services what it may call; empty means every service of its partner
+ * @param services services that it may call; empty for all services of its partner
  */
 public record CallerSettings(
     CallerId id, PartnerId partner, TokenHash token, Set<ServiceName> services) {
--- a/runtime/src/main/java/org/hornbeamusher/settings/CapacitySettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/CapacitySettings.java
@@ -5,19 +5,19 @@
 import org.hornbeamusher.ids.PartnerId;
 
 /**
- * What an agent's endpoint can do. Slots and batch are known from the service document as well; a
- * value here goes before it, for an engine that differs from its pool.
+ * Capacity of an agent's endpoint. The service document also states slots and batch; a value here
+ * overrides it, for an engine that differs from the others of its pool.
  *
- * @param kind what the endpoint runs
+ * @param kind the kind of the endpoint
  * @param fencing whether the engine refuses orders with an old fencing number
- * @param slots how many adapters the engine holds at once; empty as the document says
- * @param batch how many requests it runs at once; empty as the document says
- * @param queueLimit most requests that wait here in all
- * @param tokensPerSecond what it generates for one request
- * @param loadMillis expected time of one adapter's load
- * @param minimumStayMillis how long a loaded adapter is kept at least
- * @param weightStore the weight store it loads from; agents of one store share its pace
- * @param partnerShares each partner's guaranteed part of the endpoint; empty for equal parts
+ * @param slots maximum number of adapters that are resident at once; empty to use the document's
+ * @param batch maximum number of requests that run at once; empty to use the document's
+ * @param queueLimit maximum number of requests of all services that wait at the agent
+ * @param tokensPerSecond generation rate of one request
+ * @param loadMillis expected time of loading one adapter
+ * @param minimumStayMillis minimum time that a loaded adapter stays resident
+ * @param weightStore the weight store it loads from; agents of one store share its load rate
+ * @param partnerShares each partner's guaranteed share of the endpoint; empty for equal shares
  */
 public record CapacitySettings(
     EndpointKind kind,
@@ -37,11 +37,11 @@
   }
 
   /**
-   * Default figures: the weight store does about 2 loads a second, one at a time at full speed, so
-   * a load takes 500 ms. A stay of 2 s is four loads, which keeps two adapters that take turns from
-   * loading without end. 22 tokens a second are 45 ms between tokens.
+   * Returns default settings. The weight store does about 2 loads a second, one at a time at full
+   * speed, so a load takes 500 ms. A minimum stay of 2 s is four loads; it prevents two alternating
+   * adapters from evicting each other all the time. 22 tokens a second are 45 ms between tokens.
    *
-   * @param kind what the endpoint runs
+   * @param kind the kind of the endpoint
    * @return the settings
    */
   public static CapacitySettings of(EndpointKind kind) {
--- a/runtime/src/main/java/org/hornbeamusher/settings/EndpointKind.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/EndpointKind.java
@@ -1,18 +1,18 @@
 package org.hornbeamusher.settings;
 
-/** What an agent's endpoint runs. */
+/** Kind of an agent's endpoint. */
 public enum EndpointKind {
-  /** A model engine that holds adapters. */
+  /** A model engine that loads adapters. */
   MODEL,
   /** A plain HTTP service. */
   PLAIN;
 
   /**
-   * Reads the written form.
+   * Parses the value of the setting.
    *
    * @param text {@code model} or {@code plain}
    * @return the kind
-   * @throws InvalidSettingException when the text is another one
+   * @throws InvalidSettingException when the text is neither
    */
   public static EndpointKind parse(String text) {
     return switch (text) {
--- a/runtime/src/main/java/org/hornbeamusher/settings/EntrySettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/EntrySettings.java
@@ -12,17 +12,17 @@
 import org.hornbeamusher.wire.WireSettings;
 
 /**
- * What an entry is told when it starts.
+ * Settings that an entry reads at startup.
  *
  * @param instance the process's name, unique in its deployment
  * @param zone the availability zone it runs in
- * @param http where callers and operators reach it
- * @param platform the platform's service
- * @param callers who may send requests
- * @param operators who may change documents
- * @param limits bounds on callers
- * @param wire intervals and bounds of the connections to agents
- * @param peerTls keys shown to agents; empty for plain connections
+ * @param http the listener for callers and operators
+ * @param platform the URI of the platform's service
+ * @param callers callers that may send requests
+ * @param operators operators that may change documents
+ * @param limits limits for callers
+ * @param wire intervals and limits of the connections to agents
+ * @param peerTls TLS files for the connections to agents; empty for plaintext connections
  */
 public record EntrySettings(
     InstanceId instance,
@@ -42,13 +42,13 @@
   }
 
   /**
-   * Creates settings on the loopback address with default figures, for tests and the demo.
+   * Creates settings for the loopback address with default values, for tests and the demo.
    *
    * @param instance the process's name
    * @param zone the availability zone
-   * @param platform the platform's service
-   * @param callers who may send requests
-   * @param operators who may change documents
+   * @param platform the URI of the platform's service
+   * @param callers callers that may send requests
+   * @param operators operators that may change documents
    * @return the settings
    */
   public static EntrySettings loopback(
@@ -74,17 +74,17 @@
    *
    * @param file a TOML file with {@code role = "entry"}
    * @return the settings
-   * @throws org.hornbeamusher.failure.HornbeamusherException {@code SETTINGS_INVALID} that carries
-   *     every fault as {@link org.hornbeamusher.toml.Problems}
+   * @throws org.hornbeamusher.failure.HornbeamusherException {@code SETTINGS_INVALID} with all
+   *     problems as {@link org.hornbeamusher.toml.Problems}
    */
   public static EntrySettings read(Path file) {
     return EntrySettingsReader.read(file);
   }
 
   /**
-   * Makes the directory of the tokens in these settings.
+   * Creates the directory of the tokens in these settings.
    *
-   * @return callers and operators
+   * @return the directory of the tokens of callers and operators
    */
   public TokenDirectory tokens() {
     List<TokenDirectory.Entry> entries = new ArrayList<>();
@@ -92,7 +92,7 @@
       Identity identity = new Identity.Caller(caller.id(), caller.partner(), caller.services());
       entries.add(new TokenDirectory.Entry(caller.token(), identity));
     }
-    operators.forEach(operator -> entries.add(operator.entry()));
+    operators.forEach(operator -> entries.add(operator.tokenEntry()));
     return new TokenDirectory(entries);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/settings/EntrySettingsReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/EntrySettingsReader.java
@@ -11,7 +11,7 @@
 import org.hornbeamusher.toml.TomlDocument;
 import org.hornbeamusher.wire.WireSettings;
 
-/** Binds an entry's file. Every key is read before the check ends, so that all faults show. */
+/** Reads an entry's settings file. All keys are read first, so that all problems are reported. */
 final class EntrySettingsReader {
 
   private static final int MIN_BYTES = 1_024;
@@ -24,11 +24,11 @@
 
   static EntrySettings read(Path file) {
     TomlChecker top = TomlDocument.read(file).checker();
-    SharedTables shared = new SharedTables(file);
-    SharedTables.role(top, "entry");
+    SharedTablesReader shared = new SharedTablesReader(file);
+    SharedTablesReader.checkRole(top, "entry");
     InstanceId instance = top.value("instance", InstanceId::new);
     AvailabilityZone zone = top.value("zone", AvailabilityZone::new);
-    URI platform = SharedTables.uri(top, "platform");
+    URI platform = SharedTablesReader.uri(top, "platform");
     ListenSettings http = shared.listen(top.table("http"));
     final LimitSettings limits = limits(top.optionalTable("limits"));
     TomlChecker wireTable = top.table("wire");
@@ -36,27 +36,27 @@
     Optional<TlsSettings> peerTls = shared.peerTls(wireTable);
     List<CallerSettings> callers = shared.callers(top);
     List<OperatorSettings> operators = shared.operators(top);
-    SharedTables.requireDistinctTokens(top, callers, operators);
+    SharedTablesReader.requireDistinctTokens(top, callers, operators);
     top.finish(FailureType.SETTINGS_INVALID);
     return new EntrySettings(
         instance, zone, http, platform, callers, operators, limits, wire, peerTls);
   }
 
   private static LimitSettings limits(TomlChecker table) {
-    LimitSettings standard = LimitSettings.DEFAULT;
+    LimitSettings defaults = LimitSettings.DEFAULT;
     return new LimitSettings(
-        (int) table.integer("body_bytes", MIN_BYTES, MAX_BODY_BYTES, standard.bodyBytes()),
-        (int) table.integer("header_bytes", MIN_BYTES, MAX_HEADER_BYTES, standard.headerBytes()),
+        (int) table.integer("body_bytes", MIN_BYTES, MAX_BODY_BYTES, defaults.bodyBytes()),
+        (int) table.integer("header_bytes", MIN_BYTES, MAX_HEADER_BYTES, defaults.headerBytes()),
         table.integer(
             "request_ms",
             MIN_CALLER_MILLIS,
-            SharedTables.MAX_INTERVAL_MILLIS,
-            standard.requestMillis()),
+            SharedTablesReader.MAX_INTERVAL_MILLIS,
+            defaults.requestMillis()),
         table.integer(
             "stalled_ms",
             MIN_CALLER_MILLIS,
-            SharedTables.MAX_INTERVAL_MILLIS,
-            standard.stalledMillis()),
-        (int) table.integer("in_flight", 1, MAX_IN_FLIGHT, standard.inFlight()));
+            SharedTablesReader.MAX_INTERVAL_MILLIS,
+            defaults.stalledMillis()),
+        (int) table.integer("in_flight", 1, MAX_IN_FLIGHT, defaults.inFlight()));
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/settings/InvalidSettingException.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/InvalidSettingException.java
@@ -1,6 +1,6 @@
 package org.hornbeamusher.settings;
 
-/** A value that a setting cannot have; the message says what it may be. */
+/** Thrown for an invalid value of a setting; the message states the allowed values. */
 final class InvalidSettingException extends IllegalArgumentException {
 
   private static final long serialVersionUID = 1L;
--- a/runtime/src/main/java/org/hornbeamusher/settings/LimitSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/LimitSettings.java
@@ -1,20 +1,20 @@
 package org.hornbeamusher.settings;
 
 /**
- * Bounds on what callers may do to an entry.
+ * Limits of an entry for its callers.
  *
- * @param bodyBytes longest request body
- * @param headerBytes longest request header
- * @param requestMillis how long a caller may take to send a request
- * @param stalledMillis how long a caller may leave an answer unread
- * @param inFlight most requests at once
+ * @param bodyBytes maximum size of a request body
+ * @param headerBytes maximum size of a request's headers
+ * @param requestMillis timeout for receiving a request
+ * @param stalledMillis timeout for a response that the caller does not read
+ * @param inFlight maximum number of requests in progress
  */
 public record LimitSettings(
     int bodyBytes, int headerBytes, long requestMillis, long stalledMillis, int inFlight) {
 
   /**
-   * A prompt of 100,000 tokens fits into 1 MiB. At the size we expect, an entry sees 7 requests a
-   * second; 2,048 at once are five minutes of them.
+   * Defaults: a prompt of 100,000 tokens fits into 1 MiB. At the planned size an entry receives 7
+   * requests a second, so 2,048 in progress are those of five minutes.
    */
   public static final LimitSettings DEFAULT =
       new LimitSettings(1_048_576, 16_384, 10_000, 30_000, 2_048);
--- a/runtime/src/main/java/org/hornbeamusher/settings/ListenSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/ListenSettings.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 
 /**
- * Where a process listens.
+ * Address and TLS settings of a listener.
  *
  * @param host an address of the instance
- * @param port 0 picks a free one
- * @param tls the keys, or empty for plain connections
+ * @param port the port; 0 for any free one
+ * @param tls the TLS files; empty for plaintext connections
  */
 public record ListenSettings(String host, int port, Optional<TlsSettings> tls) {
 
   /**
-   * Listens on a free port of the loopback address, without TLS.
+   * Returns settings for a free port of the loopback address, without TLS.
    *
    * @return the settings
    */
--- a/runtime/src/main/java/org/hornbeamusher/settings/OperatorSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/OperatorSettings.java
@@ -8,23 +8,23 @@
 import org.hornbeamusher.security.TokenHash;
 
 /**
- * Someone who may change documents.
+ * An operator that may change documents.
  *
  * @param id the operator
  * @param partner the partner it belongs to
  * @param team the team whose documents it may change
  * @param token the hash of its token
- * @param mayDrain whether it may make this process leave
+ * @param mayDrain whether it may drain this process
  */
 public record OperatorSettings(
     OperatorId id, PartnerId partner, TeamId team, TokenHash token, boolean mayDrain) {
 
   /**
-   * Makes the entry of the directory of tokens.
+   * Creates this operator's entry of the token directory.
    *
-   * @return the token's hash and whom it stands for
+   * @return the token's hash and the identity it belongs to
    */
-  public TokenDirectory.Entry entry() {
+  public TokenDirectory.Entry tokenEntry() {
     return new TokenDirectory.Entry(token, new Identity.Operator(id, partner, team, mayDrain));
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/settings/SharedTablesReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/SharedTablesReader.java
@@ -17,8 +17,8 @@
 import org.hornbeamusher.toml.TomlChecker;
 import org.hornbeamusher.wire.WireSettings;
 
-/** Tables that more than one role's settings have. */
-final class SharedTables {
+/** Reads the tables that occur in the settings of several roles. */
+final class SharedTablesReader {
 
   static final long MAX_INTERVAL_MILLIS = 600_000;
 
@@ -31,15 +31,15 @@
   /**
    * Creates a reader.
    *
-   * @param file the settings file; other files are named relative to its directory
+   * @param file the settings file; paths in it are relative to its directory
    */
-  SharedTables(Path file) {
+  SharedTablesReader(Path file) {
     this.directory = file.toAbsolutePath().getParent();
     this.tokens = new TokenReader(directory);
   }
 
-  /** The file's role must be the one that reads it, else its keys would all seem unknown. */
-  static void role(TomlChecker top, String role) {
+  /** Checks the role of the file; with another role all its keys would be reported as unknown. */
+  static void checkRole(TomlChecker top, String role) {
     top.value(
         "role",
         text -> {
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Reads the connections between processes. Plain ones must be asked for: a forgotten table would
-   * otherwise leave every frame readable, and no one would notice.
+   * Reads the TLS files for connections between processes. Plaintext must be requested explicitly:
+   * otherwise a forgotten table would leave all traffic unencrypted without notice.
    */
   Optional<TlsSettings> peerTls(TomlChecker wire) {
     boolean insecure = wire.bool("insecure", false);
@@ -85,19 +85,19 @@
   }
 
   WireSettings wire(TomlChecker wire) {
-    WireSettings standard = WireSettings.DEFAULT;
+    WireSettings defaults = WireSettings.DEFAULT;
     long heartbeat =
-        wire.integer("heartbeat_ms", 10, MAX_INTERVAL_MILLIS, standard.heartbeatMillis());
-    long silence = wire.integer("silence_ms", 20, MAX_INTERVAL_MILLIS, standard.silenceMillis());
+        wire.integer("heartbeat_ms", 10, MAX_INTERVAL_MILLIS, defaults.heartbeatMillis());
+    long silence = wire.integer("silence_ms", 20, MAX_INTERVAL_MILLIS, defaults.silenceMillis());
     if (silence < 2 * heartbeat) {
       wire.record(
           "silence_ms",
           Kind.OUT_OF_RANGE,
           "must be at least twice heartbeat_ms, else one late heartbeat ends a good connection");
     }
-    long connect = wire.integer("connect_ms", 10, MAX_INTERVAL_MILLIS, standard.connectMillis());
+    long connect = wire.integer("connect_ms", 10, MAX_INTERVAL_MILLIS, defaults.connectMillis());
     long outgoing =
-        wire.integer("outgoing_messages", 16, MAX_OUTGOING_MESSAGES, standard.outgoingMessages());
+        wire.integer("outgoing_messages", 16, MAX_OUTGOING_MESSAGES, defaults.outgoingMessages());
     return new WireSettings(heartbeat, silence, (int) connect, (int) outgoing);
   }
 
@@ -128,19 +128,19 @@
     return operators;
   }
 
-  private Optional<TlsSettings> tls(TomlChecker parent, boolean peersShowCertificates) {
+  private Optional<TlsSettings> tls(TomlChecker parent, boolean requireTrusted) {
     if (!parent.has("tls")) {
       return Optional.empty();
     }
     TomlChecker table = parent.table("tls");
     Path certificate = file(table, "certificate_file");
     Path key = file(table, "key_file");
-    boolean trusted = peersShowCertificates || table.has("trusted_file");
+    boolean hasTrusted = requireTrusted || table.has("trusted_file");
     return Optional.of(
         new TlsSettings(
             certificate,
             key,
-            trusted ? Optional.ofNullable(file(table, "trusted_file")) : Optional.empty()));
+            hasTrusted ? Optional.ofNullable(file(table, "trusted_file")) : Optional.empty()));
   }
 
   private Path file(TomlChecker table, String key) {
@@ -151,7 +151,7 @@
     return file;
   }
 
-  /** Two identities with one token could not be told apart. */
+  /** Two identities with the same token could not be distinguished. */
   static void requireDistinctTokens(
       TomlChecker top, List<CallerSettings> callers, List<OperatorSettings> operators) {
     List<TokenHash> hashes = new ArrayList<>();
--- a/runtime/src/main/java/org/hornbeamusher/settings/TlsSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/TlsSettings.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * Files that hold keys and certificates in PEM form. They are read again while the process runs.
+ * Files with keys and certificates in PEM format. They are reloaded while the process runs.
  *
- * @param certificate the certificate chain, own certificate first
- * @param key the private key in PKCS #8 form, not encrypted
- * @param trusted the certificates of those who may sign a peer's; empty when peers show none
+ * @param certificate file with the certificate chain, own certificate first
+ * @param key file with the private key in PKCS #8 format, not encrypted
+ * @param trusted file with the CA certificates for peers; empty when peers present no certificates
  */
 public record TlsSettings(Path certificate, Path key, Optional<Path> trusted) {}
--- a/runtime/src/main/java/org/hornbeamusher/settings/TokenReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/TokenReader.java
@@ -10,9 +10,9 @@
 import org.hornbeamusher.toml.TomlChecker;
 
 /**
- * Reads a token's hash from the one of three keys that is present: {@code token_sha256} holds the
- * hash itself, {@code token_file} names a file and {@code token_env} an environment variable that
- * hold the token.
+ * Reads a token's hash from the one of three keys that is present: {@code token_sha256} contains
+ * the hash itself; {@code token_file} names a file and {@code token_env} an environment variable
+ * that contains the token.
  */
 final class TokenReader {
 
@@ -26,17 +26,17 @@
     this.directory = directory;
   }
 
-  /** Returns null, with a fault recorded, when there is no usable token. */
+  /** Returns null and records a problem when there is no usable token. */
   TokenHash hash(TomlChecker table) {
-    List<String> present = Stream.of(HASH, FILE, ENVIRONMENT).filter(table::has).toList();
-    if (present.size() != 1) {
+    List<String> presentKeys = Stream.of(HASH, FILE, ENVIRONMENT).filter(table::has).toList();
+    if (presentKeys.size() != 1) {
       table.record(
           HASH,
-          present.isEmpty() ? Kind.MISSING_KEY : Kind.INVALID_VALUE,
+          presentKeys.isEmpty() ? Kind.MISSING_KEY : Kind.INVALID_VALUE,
           "exactly one of token_sha256, token_file and token_env is required");
       return null;
     }
-    return switch (present.getFirst()) {
+    return switch (presentKeys.getFirst()) {
       case HASH -> table.value(HASH, TokenHash::parse);
       case FILE -> fromFile(table);
       default -> fromEnvironment(table);
--- a/runtime/src/main/java/org/hornbeamusher/settings/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What each process is told when it starts: TOML files bound to records and checked whole. A record
- * holds no secret: tokens appear as hashes, private keys as the names of their files.
+ * Settings that processes read at startup: TOML files that are validated and bound to records. The
+ * records contain no secrets: tokens are stored as hashes, private keys as the names of their
+ * files.
  */
 package org.hornbeamusher.settings;
--- a/runtime/src/test/java/org/hornbeamusher/settings/SettingsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/settings/SettingsTest.java
@@ -76,9 +76,9 @@
     assertFalse(caller.mayCall(new ServiceName("haul-api"), caller.partner()));
   }
 
-  /** Five different faults are reported together, each where the operator finds it. */
+  /** Five different problems are reported together, each with its line and key. */
   @Test
-  void fiveDifferentFaultsAreAllReported() throws IOException {
+  void fiveDifferentProblemsAreAllReported() throws IOException {
     String text =
         ENTRY
             .replace("port = 8080", "port = 80800")
@@ -96,11 +96,11 @@
   }
 
   /**
-   * Someone forgets the keys of the connections between processes. Without the fault every frame
-   * would be readable on the way, and nobody would notice.
+   * Guards against forgotten TLS files for the connections between processes, which would leave all
+   * traffic unencrypted without notice.
    */
   @Test
-  void plainConnectionsBetweenProcessesMustBeAskedFor() throws IOException {
+  void plaintextConnectionsBetweenProcessesNeedExplicitSetting() throws IOException {
     assertEquals(List.of("9 wire.tls MISSING_KEY"), problems(ENTRY.replace("insecure = true", "")));
   }
 
