--- a/runtime/src/main/java/org/hornbeamusher/toml/KeyPath.java
+++ b/runtime/src/main/java/org/hornbeamusher/toml/KeyPath.java
@@ -2,7 +2,7 @@
 
 import java.util.regex.Pattern;
 
-/** Builds the full names of keys, the same way for the line index and for the checker. */
+/** Builds full key names, so that the line index and the checker use the same form. */
 final class KeyPath {
 
   private static final Pattern BARE = Pattern.compile("[A-Za-z0-9_-]+");
--- a/runtime/src/main/java/org/hornbeamusher/toml/LineIndex.java
+++ b/runtime/src/main/java/org/hornbeamusher/toml/LineIndex.java
@@ -8,10 +8,10 @@
 /**
  * Finds the line of every key of a TOML text.
  *
- * <p>The TOML library yields a tree without positions, and a fault that names no line is hard to
- * find in a document of 3,000 adapters. This class walks a text that the library has already
- * accepted, so it follows the shape of keys and values only and checks nothing: on a text that is
- * not TOML it may return odd lines, never an exception. Example:
+ * <p>The TOML library returns a tree without positions, and a problem without a line is hard to
+ * find in a document of 3,000 adapters. This class scans a text that the library has already
+ * accepted, so it follows only the structure of keys and values and validates nothing: for a text
+ * that is not TOML it may return wrong lines, but throws no exception. Example:
  *
  * <pre>
  * 1  id = "a"             id -> 1
@@ -21,13 +21,13 @@
  */
 final class LineIndex {
 
-  private static final char END = '\0';
+  private static final char END_OF_TEXT = '\0';
   private static final String MULTI_LINE_BASIC = "\"\"\"";
   private static final String MULTI_LINE_LITERAL = "'''";
 
   private final String text;
   private final Map<String, Integer> lines = new HashMap<>();
-  private final Map<String, Integer> lastElement = new HashMap<>();
+  private final Map<String, Integer> elementCounts = new HashMap<>();
   private int position;
   private int line = 1;
 
@@ -44,7 +44,7 @@
   private void walk() {
     String table = "";
     skipBlank();
-    while (peek() != END) {
+    while (peek() != END_OF_TEXT) {
       int before = position;
       if (peek() == '[') {
         table = header();
@@ -61,31 +61,31 @@
   private String header() {
     boolean array = text.startsWith("[[", position);
     skip(array ? 2 : 1);
-    int at = line;
+    int headerLine = line;
     List<String> keys = keys();
     skip(array ? 2 : 1);
     String path = "";
     for (int i = 0; i < keys.size(); i++) {
       path = KeyPath.child(path, keys.get(i));
-      lines.putIfAbsent(path, at);
+      lines.putIfAbsent(path, headerLine);
       boolean last = i == keys.size() - 1;
       if (last && array) {
-        lastElement.merge(path, 1, Integer::sum);
+        elementCounts.merge(path, 1, Integer::sum);
       }
-      if (lastElement.containsKey(path)) {
-        path = KeyPath.element(path, lastElement.get(path) - 1);
-        lines.putIfAbsent(path, at);
+      if (elementCounts.containsKey(path)) {
+        path = KeyPath.element(path, elementCounts.get(path) - 1);
+        lines.putIfAbsent(path, headerLine);
       }
     }
     return path;
   }
 
   private void keyAndValue(String table) {
-    int at = line;
+    int keyLine = line;
     String path = table;
     for (String key : keys()) {
       path = KeyPath.child(path, key);
-      lines.putIfAbsent(path, at);
+      lines.putIfAbsent(path, keyLine);
     }
     skipSpace();
     if (peek() == '=') {
@@ -133,7 +133,7 @@
   private void array(String path) {
     advance();
     skipBlank();
-    for (int i = 0; peek() != ']' && peek() != END; i++) {
+    for (int i = 0; peek() != ']' && peek() != END_OF_TEXT; i++) {
       String element = KeyPath.element(path, i);
       lines.putIfAbsent(element, line);
       value(element);
@@ -145,14 +145,14 @@
   private void inlineTable(String path) {
     advance();
     skipBlank();
-    while (peek() != '}' && peek() != END) {
+    while (peek() != '}' && peek() != END_OF_TEXT) {
       keyAndValue(path);
       skipToNext('}');
     }
     advance();
   }
 
-  /** Moves behind a comma, or to the closing bracket; always forward. */
+  /** Skips a comma, or any other character but the closing bracket so that the scan advances. */
   private void skipToNext(char close) {
     skipBlank();
     if (peek() == ',' || peek() != close) {
@@ -162,24 +162,24 @@
   }
 
   private void scalar() {
-    while ("\n#,]}".indexOf(peek()) < 0 && peek() != END) {
+    while ("\n#,]}".indexOf(peek()) < 0 && peek() != END_OF_TEXT) {
       advance();
     }
   }
 
   private void string() {
     char quote = peek();
-    String multi = quote == '"' ? MULTI_LINE_BASIC : MULTI_LINE_LITERAL;
-    boolean multiLine = text.startsWith(multi, position);
-    String close = multiLine ? multi : String.valueOf(quote);
-    skip(close.length());
-    while (peek() != END && !text.startsWith(close, position)) {
+    String tripleQuote = quote == '"' ? MULTI_LINE_BASIC : MULTI_LINE_LITERAL;
+    boolean multiLine = text.startsWith(tripleQuote, position);
+    String closingQuote = multiLine ? tripleQuote : String.valueOf(quote);
+    skip(closingQuote.length());
+    while (peek() != END_OF_TEXT && !text.startsWith(closingQuote, position)) {
       advance();
       if (quote == '"' && text.charAt(position - 1) == '\\') {
         advance();
       }
     }
-    skip(close.length());
+    skip(closingQuote.length());
     while (multiLine && peek() == quote) {
       advance();
     }
@@ -188,7 +188,7 @@
   private void skipBlank() {
     skipSpace();
     while (peek() == '\n' || peek() == '#') {
-      while (peek() != '\n' && peek() != END) {
+      while (peek() != '\n' && peek() != END_OF_TEXT) {
         advance();
       }
       advance();
@@ -218,6 +218,6 @@
   }
 
   private char peek() {
-    return position < text.length() ? text.charAt(position) : END;
+    return position < text.length() ? text.charAt(position) : END_OF_TEXT;
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/toml/Problem.java
+++ b/runtime/src/main/java/org/hornbeamusher/toml/Problem.java
@@ -1,29 +1,30 @@
 package org.hornbeamusher.toml;
 
 /**
- * One fault in a TOML text.
+ * One problem in a TOML text.
  *
- * @param file the name the text was read under
- * @param line where it is, from 1; 0 when the fault belongs to the file as a whole
- * @param key the full key, for example {@code caller[0].partner}; empty for the file as a whole
- * @param kind what is wrong
- * @param detail what was expected, in a few words
+ * @param file name of the file that the text was read from
+ * @param line line number from 1; 0 when the problem concerns the whole file
+ * @param key the full key, for example {@code caller[0].partner}; empty when the problem concerns
+ *     the whole file
+ * @param kind the kind of problem
+ * @param detail what was expected
  */
 public record Problem(String file, int line, String key, Kind kind, String detail) {
 
-  /** What may be wrong with a TOML text. */
+  /** Kind of problem. */
   public enum Kind {
     /** The text is not TOML. */
     SYNTAX,
-    /** Nothing reads this key; most often it is misspelt. */
+    /** The key is not known; most often it is misspelt. */
     UNKNOWN_KEY,
     /** A required key is absent. */
     MISSING_KEY,
-    /** The value has another type than the key wants. */
+    /** The value does not have the type that the key requires. */
     WRONG_TYPE,
     /** The value is a number outside its range. */
     OUT_OF_RANGE,
-    /** The value has the right type and still cannot be used. */
+    /** The value has the right type but is invalid. */
     INVALID_VALUE,
     /** The file, or a file that it names, cannot be read. */
     UNREADABLE
--- a/runtime/src/main/java/org/hornbeamusher/toml/Problems.java
+++ b/runtime/src/main/java/org/hornbeamusher/toml/Problems.java
@@ -4,9 +4,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Every fault of one text; the argument of the failure that reports them.
+ * All problems of one text; the argument of the failure that reports them.
  *
- * @param all the faults in order of their lines
+ * @param all the problems, ordered by line
  */
 public record Problems(List<Problem> all) {
 
@@ -16,10 +16,10 @@
   }
 
   /**
-   * Finds the faults that a failure carries.
+   * Returns the problems that a failure contains.
    *
    * @param failure a failure thrown by {@link TomlChecker#finish}, or any other
-   * @return its faults, or none when it carries none
+   * @return its problems; empty when it contains none
    */
   public static Problems of(org.hornbeamusher.failure.HornbeamusherException failure) {
     return failure.arguments().stream()
--- a/runtime/src/main/java/org/hornbeamusher/toml/TomlChecker.java
+++ b/runtime/src/main/java/org/hornbeamusher/toml/TomlChecker.java
@@ -19,14 +19,14 @@
 import org.hornbeamusher.toml.Problem.Kind;
 
 /**
- * Reads the values of one table and records every fault instead of stopping at the first.
+ * Reads the values of one table and records every problem instead of stopping at the first.
  *
- * <p>Each accessor marks its key as known and returns the value, or a harmless stand-in when the
- * value is absent or wrong: {@code ""}, the lowest number of the range, an empty list or table,
- * {@code null} for an identifier. The reader asks for every key and then calls {@link #finish},
- * which throws when anything was recorded, so that a stand-in never gets further than the reader.
- * Keys that were never asked for are faults as well: a misspelt optional key would otherwise be
- * ignored in silence and its default taken for the operator's wish.
+ * <p>Each accessor marks its key as known and returns the value, or a placeholder when the value is
+ * absent or wrong: {@code ""}, the lowest number of the range, an empty list or table, {@code null}
+ * for an identifier. The caller reads every key and then calls {@link #finish}, which throws when
+ * any problem was recorded, so that placeholders are never used. Keys that were never read are
+ * problems as well: a misspelt optional key would otherwise be ignored silently and its default
+ * used instead of the value that the operator set.
  *
  * <pre>
  * TomlChecker top = document.checker();
@@ -35,7 +35,7 @@
  * top.finish(FailureType.SETTINGS_INVALID);
  * </pre>
  *
- * <p>Not safe for use by several threads at once.
+ * <p>Not thread-safe.
  */
 public final class TomlChecker {
 
@@ -43,7 +43,7 @@
   private final ObjectNode table;
   private final String path;
   private final List<Problem> problems;
-  private final Set<String> known = new HashSet<>();
+  private final Set<String> knownKeys = new HashSet<>();
   private final Map<String, TomlChecker> children = new HashMap<>();
 
   TomlChecker(TomlDocument document, ObjectNode table, String path, List<Problem> problems) {
@@ -54,18 +54,18 @@
   }
 
   /**
-   * Tells whether a key is present, and marks it as known.
+   * Returns whether a key is present and marks it as known.
    *
    * @param key a key of this table
    * @return whether it has a value
    */
   public boolean has(String key) {
-    known.add(key);
+    knownKeys.add(key);
     return table.has(key);
   }
 
   /**
-   * Reads a required text.
+   * Reads a required string.
    *
    * @param key a key of this table
    * @return the text
@@ -75,7 +75,7 @@
   }
 
   /**
-   * Reads an optional text.
+   * Reads an optional string.
    *
    * @param key a key of this table
    * @param fallback the value when the key is absent
@@ -86,11 +86,11 @@
   }
 
   /**
-   * Reads a required value type.
+   * Reads a required string and converts it to a value type.
    *
    * @param key a key of this table
-   * @param constructor makes the value of a text and throws {@link InvalidIdentifierException} or
-   *     another {@link IllegalArgumentException} when the text has another form
+   * @param constructor converts the string; throws {@link InvalidIdentifierException} or another
+   *     {@link IllegalArgumentException} when the string is invalid
    * @param <T> the value type
    * @return the value, or null when it was absent or wrong
    */
@@ -107,7 +107,7 @@
   }
 
   /**
-   * Reads an optional value type.
+   * Reads an optional string and converts it to a value type.
    *
    * @param key a key of this table
    * @param constructor as in {@link #value}
@@ -119,63 +119,63 @@
   }
 
   /**
-   * Reads a required whole number.
+   * Reads a required integer.
    *
    * @param key a key of this table
-   * @param least the lowest allowed
-   * @param most the highest allowed
+   * @param minimum the lowest allowed value
+   * @param maximum the highest allowed value
    * @return the number
    */
-  public long integer(String key, long least, long most) {
+  public long integer(String key, long minimum, long maximum) {
     JsonNode node = required(key);
     if (node == null) {
-      return least;
+      return minimum;
     }
     if (!node.isIntegralNumber()) {
       wrongType(key, "a whole number", node);
-      return least;
+      return minimum;
     }
-    if (!node.canConvertToLong() || node.longValue() < least || node.longValue() > most) {
-      record(key, Kind.OUT_OF_RANGE, "must be from " + least + " to " + most + ", is " + node);
-      return least;
+    if (!node.canConvertToLong() || node.longValue() < minimum || node.longValue() > maximum) {
+      record(key, Kind.OUT_OF_RANGE, "must be from " + minimum + " to " + maximum + ", is " + node);
+      return minimum;
     }
     return node.longValue();
   }
 
   /**
-   * Reads an optional whole number.
+   * Reads an optional integer.
    *
    * @param key a key of this table
-   * @param least the lowest allowed
-   * @param most the highest allowed
+   * @param minimum the lowest allowed value
+   * @param maximum the highest allowed value
    * @param fallback the value when the key is absent
    * @return the number
    */
-  public long integer(String key, long least, long most, long fallback) {
-    return has(key) ? integer(key, least, most) : fallback;
+  public long integer(String key, long minimum, long maximum, long fallback) {
+    return has(key) ? integer(key, minimum, maximum) : fallback;
   }
 
   /**
    * Reads a required number.
    *
    * @param key a key of this table
-   * @param least the lowest allowed
-   * @param most the highest allowed
+   * @param minimum the lowest allowed value
+   * @param maximum the highest allowed value
    * @return the number
    */
-  public double number(String key, double least, double most) {
+  public double number(String key, double minimum, double maximum) {
     JsonNode node = required(key);
     if (node == null) {
-      return least;
+      return minimum;
     }
     if (!node.isNumber()) {
       wrongType(key, "a number", node);
-      return least;
+      return minimum;
     }
     double value = node.doubleValue();
-    if (!(value >= least && value <= most)) {
-      record(key, Kind.OUT_OF_RANGE, "must be from " + least + " to " + most + ", is " + node);
-      return least;
+    if (!(value >= minimum && value <= maximum)) {
+      record(key, Kind.OUT_OF_RANGE, "must be from " + minimum + " to " + maximum + ", is " + node);
+      return minimum;
     }
     return value;
   }
@@ -184,17 +184,17 @@
    * Reads an optional number.
    *
    * @param key a key of this table
-   * @param least the lowest allowed
-   * @param most the highest allowed
+   * @param minimum the lowest allowed value
+   * @param maximum the highest allowed value
    * @param fallback the value when the key is absent
    * @return the number
    */
-  public double number(String key, double least, double most, double fallback) {
-    return has(key) ? number(key, least, most) : fallback;
+  public double number(String key, double minimum, double maximum, double fallback) {
+    return has(key) ? number(key, minimum, maximum) : fallback;
   }
 
   /**
-   * Reads an optional truth value.
+   * Reads an optional boolean.
    *
    * @param key a key of this table
    * @param fallback the value when the key is absent
@@ -213,16 +213,16 @@
   }
 
   /**
-   * Reads an optional list of value types.
+   * Reads an optional list of strings and converts them to a value type.
    *
    * @param key a key of this table
    * @param constructor as in {@link #value}
    * @param <T> the value type
-   * @return the values that were right; empty when the key is absent
+   * @return the valid values; empty when the key is absent
    */
   public <T> List<T> values(String key, Function<String, T> constructor) {
     List<T> values = new ArrayList<>();
-    eachElement(
+    forEachElement(
         key,
         (element, node) -> {
           if (node.isTextual()) {
@@ -238,37 +238,37 @@
   }
 
   /**
-   * Reads an optional list of texts.
+   * Reads an optional list of strings.
    *
    * @param key a key of this table
-   * @return the texts; empty when the key is absent
+   * @return the strings; empty when the key is absent
    */
   public List<String> strings(String key) {
     return values(key, Function.identity());
   }
 
   /**
-   * Reads an optional list of whole numbers.
+   * Reads an optional list of integers.
    *
    * @param key a key of this table
-   * @param least the lowest allowed
-   * @param most the highest allowed
-   * @return the numbers that were right; empty when the key is absent
+   * @param minimum the lowest allowed value
+   * @param maximum the highest allowed value
+   * @return the valid integers; empty when the key is absent
    */
-  public List<Long> integers(String key, long least, long most) {
+  public List<Long> integers(String key, long minimum, long maximum) {
     List<Long> values = new ArrayList<>();
-    eachElement(
+    forEachElement(
         key,
         (element, node) -> {
           if (!node.isIntegralNumber()) {
             recordAt(element, Kind.WRONG_TYPE, "must be a whole number, is " + typeOf(node));
           } else if (!node.canConvertToLong()
-              || node.longValue() < least
-              || node.longValue() > most) {
+              || node.longValue() < minimum
+              || node.longValue() > maximum) {
             recordAt(
                 element,
                 Kind.OUT_OF_RANGE,
-                "must be from " + least + " to " + most + ", is " + node);
+                "must be from " + minimum + " to " + maximum + ", is " + node);
           } else {
             values.add(node.longValue());
           }
@@ -280,7 +280,7 @@
    * Reads a required table.
    *
    * @param key a key of this table
-   * @return its checker; of an empty table when it was absent or wrong
+   * @return its checker, or that of an empty table when it was absent or wrong
    */
   public TomlChecker table(String key) {
     if (!has(key)) {
@@ -293,10 +293,10 @@
    * Reads an optional table.
    *
    * @param key a key of this table
-   * @return its checker; of an empty table when it was absent or wrong
+   * @return its checker, or that of an empty table when it was absent or wrong
    */
   public TomlChecker optionalTable(String key) {
-    known.add(key);
+    knownKeys.add(key);
     return child(KeyPath.child(path, key), table.get(key));
   }
 
@@ -304,18 +304,18 @@
    * Reads an optional list of tables.
    *
    * @param key a key of this table
-   * @return one checker an element, in order; empty when the key is absent
+   * @return one checker per element, in order; empty when the key is absent
    */
   public List<TomlChecker> tables(String key) {
     List<TomlChecker> tables = new ArrayList<>();
-    eachElement(key, (element, node) -> tables.add(child(element, node)));
+    forEachElement(key, (element, node) -> tables.add(child(element, node)));
     return tables;
   }
 
   /**
-   * Reads this table as a map whose keys the operator chooses and whose values are tables.
+   * Reads this table as a map with arbitrary keys and tables as values; marks all keys as known.
    *
-   * @return one checker a key, in the order of the text; every key counts as known
+   * @return one checker per key, in the order of the text
    */
   public Map<String, TomlChecker> tablesByKey() {
     Map<String, TomlChecker> tables = new LinkedHashMap<>();
@@ -332,27 +332,27 @@
     List<String> keys = new ArrayList<>();
     Iterator<String> names = table.fieldNames();
     names.forEachRemaining(keys::add);
-    known.addAll(keys);
+    knownKeys.addAll(keys);
     return keys;
   }
 
   /**
-   * Makes a value of a key's own name, recording a fault when the key cannot be one.
+   * Converts the name of a key to a value type; records a problem when the name is invalid.
    *
    * @param key a key of this table
    * @param constructor as in {@link #value}
    * @param <T> the value type
-   * @return the value, or empty when the key has another form
+   * @return the value, or empty when the name is invalid
    */
   public <T> Optional<T> keyAs(String key, Function<String, T> constructor) {
     return Optional.ofNullable(convert(KeyPath.child(path, key), key, constructor));
   }
 
   /**
-   * Records a fault that the reader found itself, for example two values that exclude each other.
+   * Records a problem that the caller found, for example two values that exclude each other.
    *
-   * @param key a key of this table; empty for the table as a whole
-   * @param kind what is wrong
+   * @param key a key of this table; empty for the whole table
+   * @param kind the kind of problem
    * @param detail what was expected
    */
   public void record(String key, Kind kind, String detail) {
@@ -360,9 +360,9 @@
   }
 
   /**
-   * Returns what was found so far, unknown keys included.
+   * Returns the problems found so far, unknown keys included.
    *
-   * @return the faults in order of their lines
+   * @return the problems, ordered by line
    */
   public List<Problem> problems() {
     if (document.fatal().isPresent()) {
@@ -370,14 +370,14 @@
     }
     List<Problem> all = new ArrayList<>(problems);
     addUnknown(all);
-    return document.inOrder(all);
+    return document.sortedByLine(all);
   }
 
   /**
-   * Ends the check.
+   * Throws a failure if there are problems.
    *
-   * @param type the failure to throw when there are faults; its template takes one argument
-   * @throws HornbeamusherException carrying {@link Problems}
+   * @param type the type of the failure; its template takes one argument
+   * @throws HornbeamusherException with {@link Problems} as its argument, when there are problems
    */
   public void finish(FailureType type) {
     List<Problem> all = problems();
@@ -390,7 +390,7 @@
     Iterator<String> names = table.fieldNames();
     while (names.hasNext()) {
       String key = names.next();
-      if (!known.contains(key)) {
+      if (!knownKeys.contains(key)) {
         String full = KeyPath.child(path, key);
         all.add(problem(full, Kind.UNKNOWN_KEY, "no such key here"));
       }
@@ -411,14 +411,14 @@
         });
   }
 
-  private String text(String key, String standIn) {
+  private String text(String key, String placeholder) {
     JsonNode node = required(key);
     if (node == null) {
-      return standIn;
+      return placeholder;
     }
     if (!node.isTextual()) {
       wrongType(key, "a text", node);
-      return standIn;
+      return placeholder;
     }
     return node.textValue();
   }
@@ -430,16 +430,16 @@
     return table.get(key);
   }
 
-  private <T> T convert(String at, String text, Function<String, T> constructor) {
+  private <T> T convert(String fullKey, String text, Function<String, T> constructor) {
     try {
       return constructor.apply(text);
     } catch (IllegalArgumentException e) {
-      recordAt(at, Kind.INVALID_VALUE, e.getMessage());
+      recordAt(fullKey, Kind.INVALID_VALUE, e.getMessage());
       return null;
     }
   }
 
-  private void eachElement(
+  private void forEachElement(
       String key, java.util.function.BiConsumer<String, JsonNode> elementReader) {
     if (!has(key)) {
       return;
@@ -449,9 +449,9 @@
       wrongType(key, "a list", list);
       return;
     }
-    String at = KeyPath.child(path, key);
+    String listKey = KeyPath.child(path, key);
     for (int i = 0; i < list.size(); i++) {
-      elementReader.accept(KeyPath.element(at, i), list.get(i));
+      elementReader.accept(KeyPath.element(listKey, i), list.get(i));
     }
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/toml/TomlDocument.java
+++ b/runtime/src/main/java/org/hornbeamusher/toml/TomlDocument.java
@@ -13,10 +13,11 @@
 import java.util.Optional;
 
 /**
- * A TOML text as a tree whose keys know their lines.
+ * A parsed TOML text with the line number of each key.
  *
- * <p>Reading never throws: a text that is not TOML, or a file that cannot be read, gives an empty
- * tree with one {@link Problem}, so that a command that checks many files reports them all.
+ * <p>Parsing never throws: a text that is not TOML or a file that cannot be read results in an
+ * empty tree with one {@link Problem}, so that a command that checks many files reports all
+ * problems.
  */
 public final class TomlDocument {
 
@@ -38,7 +39,7 @@
   /**
    * Parses a text.
    *
-   * @param fileName the name that problems carry
+   * @param fileName the file name shown in problems
    * @param text the TOML text
    * @return the tree; empty, with {@link #fatal} set, when the text is not TOML
    */
@@ -49,7 +50,7 @@
       return new TomlDocument(fileName, root, LineIndex.of(text), Optional.empty());
     } catch (JsonProcessingException e) {
       int line = e.getLocation() == null ? 0 : Math.max(0, e.getLocation().getLineNr());
-      return broken(fileName, line, Problem.Kind.SYNTAX, e.getOriginalMessage());
+      return withProblem(fileName, line, Problem.Kind.SYNTAX, e.getOriginalMessage());
     }
   }
 
@@ -63,12 +64,12 @@
     try {
       return parse(file.toString(), Files.readString(file));
     } catch (IOException e) {
-      return broken(
+      return withProblem(
           file.toString(), 0, Problem.Kind.UNREADABLE, "the file cannot be read (" + e + ")");
     }
   }
 
-  private static TomlDocument broken(String file, int line, Problem.Kind kind, String detail) {
+  private static TomlDocument withProblem(String file, int line, Problem.Kind kind, String detail) {
     Problem problem = new Problem(file, line, "", kind, detail);
     return new TomlDocument(file, empty(), Map.of(), Optional.of(problem));
   }
@@ -78,7 +79,7 @@
   }
 
   /**
-   * Returns the name the text was read under.
+   * Returns the name of the file that the text was read from.
    *
    * @return the file name
    */
@@ -89,26 +90,26 @@
   /**
    * Returns the tree.
    *
-   * @return the top table; empty when {@link #fatal} is set
+   * @return the top-level table; empty when {@link #fatal} is set
    */
   public ObjectNode root() {
     return root;
   }
 
   /**
-   * Returns why there is no tree.
+   * Returns the problem because of which there is no tree.
    *
-   * @return a syntax error or an unreadable file; empty when the text was read
+   * @return a syntax error or an unreadable file; empty when the text was parsed
    */
   public Optional<Problem> fatal() {
     return fatal;
   }
 
   /**
-   * Finds the line of a key.
+   * Returns the line of a key.
    *
    * @param keyPath for example {@code caller[0].partner}
-   * @return its line from 1, else the line of the closest table around it, else 1
+   * @return its line from 1; if it is absent, the line of the closest enclosing table, or 1
    */
   public int line(String keyPath) {
     String path = keyPath;
@@ -123,15 +124,15 @@
   }
 
   /**
-   * Starts a check of the whole text.
+   * Creates a checker of the whole text.
    *
-   * @return a checker of the top table that has recorded {@link #fatal}, if any
+   * @return a checker of the top-level table that has recorded {@link #fatal}, if any
    */
   public TomlChecker checker() {
     return new TomlChecker(this, root, "", new java.util.ArrayList<>(fatal.stream().toList()));
   }
 
-  List<Problem> inOrder(List<Problem> problems) {
+  List<Problem> sortedByLine(List<Problem> problems) {
     return problems.stream()
         .distinct()
         .sorted(java.util.Comparator.comparingInt(Problem::line).thenComparing(Problem::key))
--- a/runtime/src/main/java/org/hornbeamusher/toml/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/toml/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads TOML texts and checks them whole: every fault is found in one pass and named with file,
- * line and key. Settings and service documents are both read through it.
+ * Parses and validates TOML texts: all problems are found in one pass and reported with file, line
+ * and key. Used for settings and for service documents.
  */
 package org.hornbeamusher.toml;
--- a/runtime/src/test/java/org/hornbeamusher/toml/TomlCheckerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/toml/TomlCheckerTest.java
@@ -15,11 +15,11 @@
 class TomlCheckerTest {
 
   /**
-   * An operator edits a file in a hurry and makes five faults of different kinds. Were only the
-   * first reported, five rounds of editing would follow.
+   * A file has five problems of different kinds. If only the first were reported, the operator
+   * would have to edit and check the file five times.
    */
   @Test
-  void reportsEveryFaultWithItsLineAndKey() {
+  void reportsEveryProblemWithItsLineAndKey() {
     TomlChecker top =
         TomlDocument.parse(
                 "entry.toml",
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void findsLinesBehindMultiLineValuesQuotedKeysAndInlineTables() {
+  void findsLinesAfterMultiLineValuesQuotedKeysAndInlineTables() {
     TomlDocument document =
         TomlDocument.parse(
             "a.toml",
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void chosenKeyThatIsNoIdentifierIsReported() {
+  void invalidUserDefinedKeyIsReported() {
     TomlChecker top = TomlDocument.parse("a.toml", "[m]\nGood = {}\n").checker();
     top.table("m").keys().forEach(key -> top.table("m").keyAs(key, PartnerId::new));
     assertEquals(
@@ -106,9 +106,9 @@
         top.problems().stream().map(Problem::toString).toList());
   }
 
-  /** A submitted text may be hostile: brackets nested without end must not end the process. */
+  /** Guards against a stack overflow on deeply nested brackets in a submitted text. */
   @Test
-  void deepNestingIsRefusedAsSyntax() {
+  void deepNestingIsReportedAsSyntaxProblem() {
     TomlDocument document = TomlDocument.parse("a.toml", "x = " + "[".repeat(100_000));
     assertTrue(document.fatal().isPresent());
   }
