--- a/runtime/src/main/java/org/hornbeamusher/events/BoundedLogHandler.java
+++ b/runtime/src/main/java/org/hornbeamusher/events/BoundedLogHandler.java
@@ -12,20 +12,20 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes log lines from a thread of its own.
+ * Writes log lines on a thread of its own.
  *
- * <p>Whoever reads the log may stall, and a write to its pipe then blocks. A request must not wait
- * for that, so lines go through a bounded queue; what finds it full is counted and dropped, and the
- * number of lost lines is written as soon as there is room.
+ * <p>The reader of the log may stall, and writes to its pipe then block. Requests must not wait for
+ * that, so lines are passed through a bounded queue; when it is full, lines are dropped, and their
+ * number is written with the next batch.
  */
 final class BoundedLogHandler extends Handler {
 
-  /** About a second of a busy entry's lines, at 200 bytes each well below a megabyte. */
-  private static final int MOST_LINES = 4_096;
+  /** About a second of log lines of a busy entry; at 200 bytes a line less than 1 MB. */
+  private static final int MAX_QUEUED_LINES = 4_096;
 
-  private static final int BATCH_LINES = 256;
+  private static final int MAX_BATCH_LINES = 256;
 
-  private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MOST_LINES);
+  private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
   private final AtomicLong dropped = new AtomicLong();
   private final OutputStream out;
 
@@ -44,12 +44,12 @@
   }
 
   private void writeAll() {
-    List<String> batch = new ArrayList<>(BATCH_LINES);
+    List<String> batch = new ArrayList<>(MAX_BATCH_LINES);
     try {
       while (true) {
         batch.clear();
         batch.add(lines.take());
-        lines.drainTo(batch, BATCH_LINES - 1);
+        lines.drainTo(batch, MAX_BATCH_LINES - 1);
         write(batch);
       }
     } catch (InterruptedException e) {
@@ -60,26 +60,26 @@
   private void write(List<String> batch) {
     StringBuilder text = new StringBuilder();
     batch.forEach(text::append);
-    long lost = dropped.getAndSet(0);
-    if (lost > 0) {
-      text.append("{\"level\":\"WARNING\",\"dropped_lines\":").append(lost).append("}\n");
+    long droppedLines = dropped.getAndSet(0);
+    if (droppedLines > 0) {
+      text.append("{\"level\":\"WARNING\",\"dropped_lines\":").append(droppedLines).append("}\n");
     }
     try {
       out.write(text.toString().getBytes(StandardCharsets.UTF_8));
       out.flush();
     } catch (IOException e) {
-      // Nobody reads the log any more; there is no other place to say so.
+      // The reader of the log has closed it; there is no other place to report that.
       dropped.addAndGet(batch.size());
     }
   }
 
   @Override
   public void flush() {
-    // The writer flushes each batch; waiting for it here could block.
+    // The writer thread flushes each batch; waiting for it here could block.
   }
 
   @Override
   public void close() {
-    // The writer ends with the process, so that the last lines still go out.
+    // The writer thread runs until the process exits, so that the last lines are still written.
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/events/EventLog.java
+++ b/runtime/src/main/java/org/hornbeamusher/events/EventLog.java
@@ -13,12 +13,13 @@
   /**
    * Logs one event.
    *
-   * @param type the entry in the catalogue
+   * @param type the type of the event
    * @param fields alternating names and values; a value is never a secret
    */
   public static void log(EventType type, Object... fields) {
     if (LOGGER.at(type.level()).isEnabled()) {
-      // The name of the event says where it comes from; finding the line would walk the stack.
+      // The log site is not needed, as each event has its own type; finding it would walk the
+      // stack.
       LOGGER
           .at(type.level())
           .withInjectedLogSite(LogSite.INVALID)
--- a/runtime/src/main/java/org/hornbeamusher/events/EventType.java
+++ b/runtime/src/main/java/org/hornbeamusher/events/EventType.java
@@ -3,7 +3,7 @@
 import java.util.logging.Level;
 
 /**
- * The catalogue of log events: number, level and what the event says.
+ * The catalogue of log events: number, level and meaning.
  *
  * <p>Numbers are never reused. Ranges: 1000 processes, 1100 requests, 1200 endpoints and loads,
  * 1300 service documents, 1400 claims, 1500 connections and membership, 1600 the platform, 1700
@@ -11,63 +11,70 @@
  */
 public enum EventType {
   // 1000: processes
-  PROCESS_STARTED(1001, Level.INFO, "A process listens for work."),
-  PROCESS_STOPPING(1002, Level.INFO, "A process takes no new work and finishes what it has."),
-  PROCESS_STOPPED(1003, Level.INFO, "A process has ended its work."),
-  TASK_FAILED(1004, Level.SEVERE, "A periodic task failed and is tried again."),
+  PROCESS_STARTED(1001, Level.INFO, "A process has started and is listening."),
+  PROCESS_STOPPING(1002, Level.INFO, "A process drains and takes no new requests."),
+  PROCESS_STOPPED(1003, Level.INFO, "A process has finished draining and stops."),
+  TASK_FAILED(1004, Level.SEVERE, "A periodic task failed and will be retried."),
   // 1100: requests
   REQUEST_REFUSED(1101, Level.FINE, "A request was refused."),
   REQUEST_FAILED(1102, Level.WARNING, "A request failed after it was admitted."),
-  REQUEST_PLACED(1103, Level.INFO, "A request goes to an endpoint, at once or after a load."),
-  REQUEST_MOVED(1104, Level.INFO, "A request that waited for a load goes to another endpoint."),
-  ATTEMPT_ENDED(1105, Level.INFO, "An endpoint's part in a request is over."),
-  REQUEST_ENDED(1106, Level.INFO, "A request has its final answer, or its caller has gone."),
-  REQUESTS_TURNED_AWAY(1107, Level.INFO, "Requests were refused unread by a starting process."),
-  ACCOUNT_REFUSED(1108, Level.INFO, "A request was refused by its key or its account's quota."),
-  RATE_PERMIT_DECIDED(1109, Level.INFO, "A request may be sent to a limited endpoint, or not."),
+  REQUEST_PLACED(
+      1103, Level.INFO, "A request was assigned to an endpoint, at once or after a load."),
+  REQUEST_MOVED(1104, Level.INFO, "A request waiting for a load was moved to another endpoint."),
+  ATTEMPT_ENDED(1105, Level.INFO, "An attempt to run a request on an endpoint ended."),
+  REQUEST_ENDED(1106, Level.INFO, "A request got its final response or its caller disconnected."),
+  REQUESTS_TURNED_AWAY(1107, Level.INFO, "Requests were refused unread while the process started."),
+  ACCOUNT_REFUSED(1108, Level.INFO, "A request was refused due to its key or account quota."),
+  RATE_PERMIT_DECIDED(
+      1109, Level.INFO, "A request to a rate-limited endpoint was permitted or not."),
   // 1200: endpoints and loads
   ADAPTER_LOADED(1201, Level.FINE, "An adapter became resident."),
   ADAPTER_LOAD_FAILED(1202, Level.WARNING, "An adapter could not be loaded."),
   ENDPOINT_RESTARTED(1203, Level.WARNING, "An endpoint lost its resident adapters."),
-  ENGINE_ORDERED(1205, Level.INFO, "An order to the engine beside the agent was answered."),
-  ENGINE_UNREACHABLE(1206, Level.WARNING, "The engine beside the agent does not answer."),
-  ENGINE_SEEN(1207, Level.INFO, "The engine beside the agent answers, in this life."),
-  FENCING_NUMBER_TAKEN(1208, Level.INFO, "The agent's orders carry this number from now on."),
-  AGENT_SUPERSEDED(1204, Level.SEVERE, "A later agent orders the endpoint; this one leaves."),
+  ENGINE_ORDERED(1205, Level.INFO, "The engine beside the agent responded to an order."),
+  ENGINE_UNREACHABLE(1206, Level.WARNING, "The engine beside the agent does not respond."),
+  ENGINE_SEEN(1207, Level.INFO, "The engine beside the agent responds; gives its incarnation."),
+  FENCING_NUMBER_TAKEN(
+      1208, Level.INFO, "The agent uses this fencing number for orders from now on."),
+  AGENT_SUPERSEDED(1204, Level.SEVERE, "A newer agent controls the endpoint; this agent leaves."),
   // 1300: service documents
-  DOCUMENT_IN_FORCE(1301, Level.INFO, "A newer version of a document is in force here."),
+  DOCUMENT_IN_FORCE(1301, Level.INFO, "This process now uses a newer version of a document."),
   DOCUMENT_UNREADABLE(1302, Level.WARNING, "A stored document cannot be read by this release."),
   DOCUMENT_ACCEPTED(1303, Level.INFO, "A submitted document was accepted."),
   DOCUMENT_REFUSED(1304, Level.WARNING, "A submitted document was refused."),
-  CONFIGURATION_IN_FORCE(1305, Level.INFO, "A newer configuration is in force here."),
-  CONFIGURATION_UNREADABLE(1306, Level.WARNING, "A configuration cannot be read; the old stays."),
-  VERSION_IN_FORCE(1307, Level.INFO, "A newer version of an adapter is to be used."),
+  CONFIGURATION_IN_FORCE(1305, Level.INFO, "This process now uses a newer configuration."),
+  CONFIGURATION_UNREADABLE(
+      1306, Level.WARNING, "A configuration cannot be read; the old one stays."),
+  VERSION_IN_FORCE(1307, Level.INFO, "This process now uses a newer version of an adapter."),
   ENDPOINT_CHANGED(1308, Level.INFO, "An endpoint is new, has changed or is leaving."),
-  ENDPOINT_GONE(1309, Level.INFO, "An endpoint is no more."),
-  ENDPOINT_UNUSABLE(1310, Level.WARNING, "A listed entry cannot be used; what was known holds."),
+  ENDPOINT_GONE(1309, Level.INFO, "An incarnation of an endpoint has ended."),
+  ENDPOINT_UNUSABLE(1310, Level.WARNING, "A list entry cannot be used; the previous data stays."),
   KEYS_UNCONFIRMED(1311, Level.WARNING, "Account keys are not confirmed; callers are refused."),
   KEYS_CONFIRMED(1312, Level.INFO, "Account keys are confirmed again; callers are served."),
-  ENDPOINT_LIMITED(1313, Level.INFO, "An endpoint states how many requests a second it takes."),
-  ENDPOINT_UNLIMITED(1314, Level.INFO, "An endpoint does not limit its requests any more."),
-  ENDPOINT_BACKOFF(1315, Level.INFO, "An endpoint wants no requests of this process for a while."),
-  ENDPOINT_LEAVING(1316, Level.INFO, "An endpoint's answer says that it is leaving."),
-  ENDPOINTS_MISSING(1317, Level.INFO, "A list lacks endpoints, which are kept for a while."),
+  ENDPOINT_LIMITED(1313, Level.INFO, "An endpoint advertised a limit of requests a second."),
+  ENDPOINT_UNLIMITED(1314, Level.INFO, "An endpoint no longer limits its request rate."),
+  ENDPOINT_BACKOFF(1315, Level.INFO, "An endpoint asked this process to pause its requests."),
+  ENDPOINT_LEAVING(1316, Level.INFO, "A response of an endpoint says that it is leaving."),
+  ENDPOINTS_MISSING(
+      1317, Level.INFO, "Endpoints are missing from a list; they are kept for a while."),
   // 1400: claims
-  CLAIM_END_LOST(1401, Level.WARNING, "The end of a claim was not written; it reads as unknown."),
+  CLAIM_END_LOST(
+      1401, Level.WARNING, "The outcome of a claim was not written; it reads as unknown."),
   // 1500: connections and membership
   PEER_CONNECTED(1501, Level.INFO, "A connection to a peer was opened."),
   PEER_LOST(1502, Level.WARNING, "A connection to a peer was lost or abandoned."),
   // 1600: the platform
-  PLATFORM_OUTAGE(1601, Level.WARNING, "The platform does not answer."),
-  PLATFORM_BACK(1602, Level.INFO, "The platform answers again."),
-  TABLE_READ_FAILED(1603, Level.WARNING, "A read of a table failed; what had arrived is lost."),
-  TABLE_STALE(1604, Level.WARNING, "What is known of a table is older than it may be."),
-  TABLE_CURRENT(1605, Level.INFO, "What is known of a table is young enough again."),
+  PLATFORM_OUTAGE(1601, Level.WARNING, "The platform does not respond."),
+  PLATFORM_BACK(1602, Level.INFO, "The platform responds again."),
+  TABLE_READ_FAILED(
+      1603, Level.WARNING, "A read of a table failed; the data received is discarded."),
+  TABLE_STALE(1604, Level.WARNING, "The local copy of a table is older than allowed."),
+  TABLE_CURRENT(1605, Level.INFO, "The local copy of a table is recent enough again."),
   // 1700: settings and operators
-  DRAIN_ORDERED(1701, Level.INFO, "An operator made this process leave."),
-  OPERATOR_REFUSED(1702, Level.WARNING, "An operator asked for what the token does not allow."),
-  TLS_KEYS_REPLACED(1703, Level.INFO, "Other keys or trusted certificates are in force."),
-  SETTINGS_READ(1705, Level.INFO, "Settings were read at the start or again."),
+  DRAIN_ORDERED(1701, Level.INFO, "An operator ordered this process to drain."),
+  OPERATOR_REFUSED(1702, Level.WARNING, "An operator's token does not allow the request."),
+  TLS_KEYS_REPLACED(1703, Level.INFO, "New TLS keys or trusted certificates are in use."),
+  SETTINGS_READ(1705, Level.INFO, "Settings were read at startup or reloaded."),
   SETTINGS_UNREADABLE(1706, Level.WARNING, "New settings cannot be used; the old ones stay."),
   TLS_KEYS_UNREADABLE(1704, Level.WARNING, "New TLS files cannot be used; the old ones stay.");
 
@@ -82,7 +89,7 @@
   }
 
   /**
-   * Returns the number.
+   * Returns the event's number.
    *
    * @return the number in the catalogue
    */
@@ -100,7 +107,7 @@
   }
 
   /**
-   * Returns what the event says.
+   * Returns the event's meaning.
    *
    * @return one sentence for the catalogue
    */
--- a/runtime/src/main/java/org/hornbeamusher/events/KeepingLogManager.java
+++ b/runtime/src/main/java/org/hornbeamusher/events/KeepingLogManager.java
@@ -3,18 +3,18 @@
 import java.util.logging.LogManager;
 
 /**
- * Keeps the log until the process has ended.
+ * Keeps the log handlers until the process exits.
  *
- * <p>The JDK's own log manager removes every handler in a shutdown hook, which runs beside the hook
- * that stops a daemon: what a daemon logs while it drains would be lost, and an operator could not
- * tell a clean end from a cut one.
+ * <p>The JDK's log manager removes all handlers in a shutdown hook that runs concurrently with the
+ * hook that stops a daemon: messages logged during the drain would be lost, and an operator could
+ * not distinguish a clean stop from an aborted one.
  */
 public final class KeepingLogManager extends LogManager {
 
   /** Creates the manager; called by the JDK. */
   public KeepingLogManager() {}
 
-  /** Does nothing; handlers stay until the process ends. */
+  /** Does nothing, so that the handlers stay until the process exits. */
   @Override
   public void reset() {}
 }
--- a/runtime/src/main/java/org/hornbeamusher/events/Logging.java
+++ b/runtime/src/main/java/org/hornbeamusher/events/Logging.java
@@ -7,43 +7,42 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Sets up the process's log: lines of JSON on standard error, nothing else. */
+/** Configures the process's log: JSON lines on standard error or standard output. */
 public final class Logging {
 
-  /** Held so that the levels set here are not lost when a logger is garbage-collected. */
-  private static final Logger LIBRARIES = Logger.getLogger("");
+  /** Referenced so that the levels set here are not lost when a logger is garbage-collected. */
+  private static final Logger ROOT_LOGGER = Logger.getLogger("");
 
-  private static final Logger EVENTS = Logger.getLogger(EventLog.class.getName());
+  private static final Logger EVENT_LOGGER = Logger.getLogger(EventLog.class.getName());
 
   private Logging() {}
 
   /**
-   * Replaces every handler by one that writes lines of JSON to standard output without ever
-   * blocking.
+   * Replaces all handlers by one that writes JSON lines to standard output without blocking.
    *
-   * @param events the lowest level of events that is written; libraries write warnings and above
+   * @param events the lowest level of events that is written; libraries log warnings and above
    */
   public static void toStandardOutput(Level events) {
     install(new BoundedLogHandler(new FileOutputStream(FileDescriptor.out)), events);
   }
 
   /**
-   * Replaces every handler by one that writes lines of JSON.
+   * Replaces all handlers by one that writes JSON lines to standard error.
    *
-   * @param events the lowest level of events that is written; libraries write warnings and above
+   * @param events the lowest level of events that is written; libraries log warnings and above
    */
   public static void toStandardError(Level events) {
     install(new ConsoleHandler(), events);
   }
 
   private static void install(Handler handler, Level events) {
-    for (Handler old : LIBRARIES.getHandlers()) {
-      LIBRARIES.removeHandler(old);
+    for (Handler old : ROOT_LOGGER.getHandlers()) {
+      ROOT_LOGGER.removeHandler(old);
     }
     handler.setFormatter(new JsonLinesFormatter());
     handler.setLevel(Level.ALL);
-    LIBRARIES.addHandler(handler);
-    LIBRARIES.setLevel(Level.WARNING);
-    EVENTS.setLevel(events);
+    ROOT_LOGGER.addHandler(handler);
+    ROOT_LOGGER.setLevel(Level.WARNING);
+    EVENT_LOGGER.setLevel(events);
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/events/JsonLinesFormatterTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/events/JsonLinesFormatterTest.java
@@ -31,18 +31,18 @@
         format(EventLog.class.getName(), event));
   }
 
-  /** A library logs a text over two lines; a reader of lines must still see one record. */
+  /** A library logs a message of two lines; it must be written as one line. */
   @Test
-  void textOfLibraryBecomesOneLine() {
+  void multiLineMessageOfLibraryBecomesOneLine() {
     assertEquals(
         "{\"time\":\"1970-01-01T00:00:01.000Z\",\"level\":\"INFO\",\"logger\":\"org.xnio\","
             + "\"message\":\"a\\nb\"}\n",
         format("org.xnio", "a\nb"));
   }
 
-  /** Before 1970 and within a second; a clock that was never set still writes proper lines. */
+  /** Includes a time before 1970, as of a clock that was never set. */
   @Test
-  void timeHasMilliseconds() {
+  void timeIsFormattedWithMilliseconds() {
     assertEquals(
         List.of("1969-12-31T23:59:59.999Z", "2026-02-28T05:06:07.089Z"),
         Stream.of(-1L, 1_772_255_167_089L).map(JsonLinesFormatterTest::timeOf).toList());
@@ -54,7 +54,7 @@
     return new JsonLinesFormatter().format(record).split("\"")[3];
   }
 
-  /** Callers choose ids; whatever one holds, a line stays one JSON object with that text in it. */
+  /** Ids are chosen by callers; with any text in a field, a line must stay one JSON object. */
   @Property(seed = "7")
   void anyTextIsReadBackAsWritten(@ForAll String text) throws IOException {
     String line =
@@ -63,9 +63,9 @@
     assertEquals(text, new ObjectMapper().readTree(line).get("a").asText());
   }
 
-  /** What is logged under the events' name and is no event is kept as text. */
+  /** A message of the event logger that is not an event is written as text. */
   @Test
-  void recordThatIsNoEventIsKeptAsText() {
+  void recordThatIsNotAnEventIsWrittenAsText() {
     assertEquals(
         "{\"time\":\"1970-01-01T00:00:01.000Z\",\"level\":\"INFO\",\"logger\":\""
             + EventLog.class.getName()
