--- a/runtime/src/main/java/org/hornbeamusher/metrics/MetricsReport.java
+++ b/runtime/src/main/java/org/hornbeamusher/metrics/MetricsReport.java
@@ -16,7 +16,7 @@
 import org.hornbeamusher.failure.Outcome;
 import org.hornbeamusher.ids.ServiceName;
 
-/** Writes the metrics that one reader may see, as JSON or in the Prometheus text format. */
+/** Formats the metrics that a reader may see, as JSON or in the Prometheus text format. */
 public final class MetricsReport {
 
   /** The media type of {@link #prometheus}. */
@@ -25,7 +25,7 @@
   private final ServiceMetrics metrics;
 
   /**
-   * Creates reports.
+   * Creates a report.
    *
    * @param metrics the process's metrics
    */
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Writes JSON.
+   * Formats the metrics as JSON.
    *
    * @param visible the services that the reader may see
    * @return one object with gauges, counters, histograms and meters
@@ -50,15 +50,16 @@
   }
 
   /**
-   * Writes the Prometheus text format, version 0.0.4.
+   * Formats the metrics in the Prometheus text format, version 0.0.4.
    *
    * @param visible the services that the reader may see
-   * @return one line a sample
+   * @return one line per sample
    */
   public String prometheus(Predicate<ServiceName> visible) {
     CollectorRegistry collectors = new CollectorRegistry();
     collectors.register(
-        new DropwizardExports(metrics.registry(), filter(visible), new ServiceLabels(metrics)));
+        new DropwizardExports(
+            metrics.registry(), filter(visible), new ServiceSampleBuilder(metrics)));
     StringWriter text = new StringWriter();
     try {
       TextFormat.write004(text, collectors.metricFamilySamples());
--- a/runtime/src/main/java/org/hornbeamusher/metrics/ProcessMetric.java
+++ b/runtime/src/main/java/org/hornbeamusher/metrics/ProcessMetric.java
@@ -1,13 +1,13 @@
 package org.hornbeamusher.metrics;
 
-/** The catalogue of metrics that exist once a process; every operator may read them. */
+/** The catalogue of metrics of a process; every operator may read them. */
 public enum ProcessMetric {
   /** Table reads. */
   TABLE_READS("table-reads", "meter, calls", "Reads and scans sent to the table service."),
   /** Table writes. */
   TABLE_WRITES("table-writes", "meter, calls", "Transactions sent to the table service."),
   /** Connections to other processes. */
-  PEERS("peers", "gauge, connections", "Connections to other processes that are open."),
+  PEERS("peers", "gauge, connections", "Open connections to other processes."),
   /** Requests in progress. */
   IN_FLIGHT("in-flight", "gauge, requests", "Requests that were admitted and have not ended.");
 
@@ -24,23 +24,23 @@
   /**
    * Returns the full name.
    *
-   * @return for example {@code process.claims}
+   * @return for example {@code process.table-reads}
    */
   public String fullName() {
     return "process." + label;
   }
 
   /**
-   * Returns its kind and unit.
+   * Returns the kind and unit of the metric.
    *
-   * @return for the catalogue
+   * @return the text for the catalogue
    */
   public String kind() {
     return kind;
   }
 
   /**
-   * Returns what it says.
+   * Returns the meaning of the metric.
    *
    * @return one sentence for the catalogue
    */
--- a/runtime/src/main/java/org/hornbeamusher/metrics/ProcessMetrics.java
+++ b/runtime/src/main/java/org/hornbeamusher/metrics/ProcessMetrics.java
@@ -5,7 +5,7 @@
 import com.codahale.metrics.MetricRegistry;
 import java.util.function.IntSupplier;
 
-/** Measures the process as a whole. Safe for use by several threads at once. */
+/** Metrics of the process as a whole. Thread-safe. */
 public final class ProcessMetrics {
 
   private final MetricRegistry registry;
@@ -20,9 +20,9 @@
   }
 
   /**
-   * Finds a metric that counts.
+   * Returns a meter.
    *
-   * @param metric one of kind meter
+   * @param metric a metric of kind meter
    * @return the meter, created on first use
    */
   public Meter meter(ProcessMetric metric) {
@@ -30,10 +30,10 @@
   }
 
   /**
-   * Registers a metric that is read when somebody asks.
+   * Registers a gauge.
    *
-   * @param metric one of kind gauge
-   * @param value reads it
+   * @param metric a metric of kind gauge
+   * @param value supplies the value whenever the metric is read
    */
   public void gauge(ProcessMetric metric, IntSupplier value) {
     Gauge<Integer> gauge = value::getAsInt;
--- a/runtime/src/main/java/org/hornbeamusher/metrics/ServiceMetric.java
+++ b/runtime/src/main/java/org/hornbeamusher/metrics/ServiceMetric.java
@@ -1,26 +1,26 @@
 package org.hornbeamusher.metrics;
 
-/** The catalogue of metrics that exist once a service. */
+/** The catalogue of metrics of a service. */
 public enum ServiceMetric {
-  /** Requests whose answer was whole. */
-  ANSWERED("answered", "meter, requests", "Requests whose whole answer was sent."),
-  /** Refusals and failures; one counter a type. */
-  REFUSED("refused", "counter, requests", "Requests refused or failed, one counter a type."),
-  /** The first measure of the brief. */
-  LOAD_STALL("load-stall", "histogram, ms", "How long answered requests waited for a load."),
-  /** From the arrival of a request to its first token. */
-  FIRST_TOKEN("first-token", "histogram, ms", "From a request's arrival to its first token."),
-  /** From the arrival of a request to the end of its answer. */
-  TOTAL("total", "histogram, ms", "From a request's arrival to the end of its answer."),
-  /** Numerator of the second measure. */
-  BATCH_RUNNING("batch-running", "counter, places", "Places in use, summed over samples."),
-  /** Denominator of the second measure. */
-  BATCH_PLACES("batch-places", "counter, places", "Places there are, summed over samples."),
-  /** The second measure of the brief. */
+  /** Requests with a complete response. */
+  ANSWERED("answered", "meter, requests", "Requests whose complete response was sent."),
+  /** Refusals and failures, one counter per failure type. */
+  REFUSED("refused", "counter, requests", "Requests refused or failed, one counter per type."),
+  /** Time that requests waited for an adapter to be loaded. */
+  LOAD_STALL("load-stall", "histogram, ms", "Time that answered requests waited for a load."),
+  /** Time from the arrival of a request to its first token. */
+  FIRST_TOKEN("first-token", "histogram, ms", "Time from a request's arrival to its first token."),
+  /** Time from the arrival of a request to the end of its response. */
+  TOTAL("total", "histogram, ms", "Time from a request's arrival to the end of its response."),
+  /** Numerator of the batch efficiency. */
+  BATCH_RUNNING("batch-running", "counter, places", "Batch slots in use, summed over samples."),
+  /** Denominator of the batch efficiency. */
+  BATCH_PLACES("batch-places", "counter, places", "Batch slots in total, summed over samples."),
+  /** Share of the batch slots in use while the endpoint has work. */
   BATCH_EFFICIENCY(
       "batch-efficiency",
       "gauge, 0 to 1",
-      "Share of the batch that is filled while there is work: batch-running / batch-places.");
+      "Share of batch slots in use while there is work: batch-running / batch-places.");
 
   private final String label;
   private final String kind;
@@ -42,16 +42,16 @@
   }
 
   /**
-   * Returns its kind and unit.
+   * Returns the kind and unit of the metric.
    *
-   * @return for the catalogue
+   * @return the text for the catalogue
    */
   public String kind() {
     return kind;
   }
 
   /**
-   * Returns what it says.
+   * Returns the meaning of the metric.
    *
    * @return one sentence for the catalogue
    */
--- a/runtime/src/main/java/org/hornbeamusher/metrics/ServiceMetrics.java
+++ b/runtime/src/main/java/org/hornbeamusher/metrics/ServiceMetrics.java
@@ -13,18 +13,18 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * Measures each service. Names are {@code service.NAME.METRIC}; the metrics are catalogued by
- * {@link ServiceMetric}. Safe for use by several threads at once.
+ * Metrics of each service. Names are {@code service.NAME.METRIC}; {@link ServiceMetric} lists the
+ * metrics. Thread-safe.
  *
- * <p>Histograms decay: they show about the last five minutes. Batch efficiency is kept as two
- * counters besides its gauge, because a mean of ratios over endpoints of unlike size is not the
- * ratio of the whole, and a reader of the counters can take it over any window.
+ * <p>Histograms decay: they show about the last five minutes. Besides its gauge, batch efficiency
+ * is available as two counters, because the mean of the ratios of endpoints of different sizes is
+ * not the ratio of the sums, and because it can be computed from counters over any time window.
  */
 public final class ServiceMetrics {
 
   private final MetricRegistry registry;
-  private final Map<ServiceName, Service> services = new ConcurrentHashMap<>();
-  private final Map<String, ServiceName> owners = new ConcurrentHashMap<>();
+  private final Map<ServiceName, MetricsOfService> services = new ConcurrentHashMap<>();
+  private final Map<String, ServiceName> serviceByMetricName = new ConcurrentHashMap<>();
 
   /**
    * Creates metrics in a registry.
@@ -38,23 +38,23 @@
   /**
    * Returns the registry.
    *
-   * @return the registry that the process's other metrics are kept in as well
+   * @return the registry, which also contains the process's other metrics
    */
   public MetricRegistry registry() {
     return registry;
   }
 
   /**
-   * Records a whole answer.
+   * Records a complete response.
    *
    * @param service the service
-   * @param loadStallMillis how long the request waited for a load
-   * @param firstTokenMillis from its arrival to its first token
-   * @param totalMillis from its arrival to its end
+   * @param loadStallMillis time that the request waited for a load
+   * @param firstTokenMillis time from its arrival to its first token
+   * @param totalMillis time from its arrival to the end of the response
    */
   public void answered(
       ServiceName service, long loadStallMillis, long firstTokenMillis, long totalMillis) {
-    Service metrics = of(service);
+    MetricsOfService metrics = metricsOf(service);
     metrics.answered.mark();
     metrics.loadStall.update(loadStallMillis);
     metrics.firstToken.update(firstTokenMillis);
@@ -65,57 +65,58 @@
    * Records a refusal, or a failure after the request was admitted.
    *
    * @param service the service
-   * @param type why
+   * @param type the type of the failure
    */
   public void refused(ServiceName service, FailureType type) {
     counterOf(service, type).inc();
   }
 
   /**
-   * Takes one sample of an endpoint's batch. Samples are taken at equal intervals, and only while
-   * something runs or waits there; an endpoint without work fills no batch and wastes none.
+   * Records one sample of an endpoint's batch. Samples are taken at equal intervals and only while
+   * requests run or wait there; the unused batch of an idle endpoint does not count as
+   * inefficiency.
    *
    * @param service the service
-   * @param running requests in the batch
-   * @param limit most requests the endpoint runs at once
+   * @param running number of requests in the batch
+   * @param limit maximum number of requests that the endpoint runs at once
    */
   public void batch(ServiceName service, int running, int limit) {
-    Service metrics = of(service);
-    metrics.running.inc(running);
-    metrics.places.inc(limit);
+    MetricsOfService metrics = metricsOf(service);
+    metrics.batchRunning.inc(running);
+    metrics.batchSlots.inc(limit);
   }
 
   /**
-   * Returns how many requests were refused or failed.
+   * Returns the number of requests that were refused or failed with one type of failure.
    *
    * @param service the service
-   * @param type why
-   * @return since the process started
+   * @param type the type of the failure
+   * @return the number since the process started
    */
   public long refusedCount(ServiceName service, FailureType type) {
     return counterOf(service, type).getCount();
   }
 
   /**
-   * Returns how many requests were refused or failed, by type.
+   * Returns the number of requests that were refused or failed, by type.
    *
    * @param service the service
-   * @return since the process started; only types that occurred
+   * @return the numbers since the process started; only types that occurred
    */
   public Map<FailureType, Long> refusals(ServiceName service) {
     Map<FailureType, Long> counts = new EnumMap<>(FailureType.class);
-    of(service).refusals.forEach((type, counter) -> counts.put(type, counter.getCount()));
+    metricsOf(service).refusals.forEach((type, counter) -> counts.put(type, counter.getCount()));
     return counts;
   }
 
   /**
-   * Returns how many requests were answered whole.
+   * Returns the number of complete responses.
    *
    * @param service the service
-   * @return since the process started
+   * @return the number since the process started
    */
   public long answeredCount(ServiceName service) {
-    return of(service).answered.getCount();
+    return metricsOf(service).answered.getCount();
   }
 
   /**
@@ -125,67 +126,71 @@
    * @return from 0 to 1; 0 when no sample was taken
    */
   public double batchEfficiency(ServiceName service) {
-    return of(service).efficiency();
+    return metricsOf(service).efficiency();
   }
 
   /**
-   * Finds whose metric this is.
+   * Returns the service that a metric belongs to.
    *
    * @param metricName a name in the registry
    * @return its service, or empty for a metric of the whole process
    */
   public Optional<ServiceName> serviceOf(String metricName) {
-    return Optional.ofNullable(owners.get(metricName));
+    return Optional.ofNullable(serviceByMetricName.get(metricName));
   }
 
   private Counter counterOf(ServiceName service, FailureType type) {
-    return of(service)
+    return metricsOf(service)
         .refusals
         .computeIfAbsent(
-            type, t -> registry.counter(name(service, ServiceMetric.REFUSED) + suffix(service, t)));
+            type,
+            t ->
+                registry.counter(
+                    registerName(service, ServiceMetric.REFUSED)
+                        + registerRefusalSuffix(service, t)));
   }
 
-  private String suffix(ServiceName service, FailureType type) {
+  private String registerRefusalSuffix(ServiceName service, FailureType type) {
     String suffix = "." + type.label();
-    owners.put(name(service, ServiceMetric.REFUSED) + suffix, service);
+    serviceByMetricName.put(registerName(service, ServiceMetric.REFUSED) + suffix, service);
     return suffix;
   }
 
-  private Service of(ServiceName service) {
-    Service known = services.get(service);
-    return known != null ? known : services.computeIfAbsent(service, Service::new);
+  private MetricsOfService metricsOf(ServiceName service) {
+    MetricsOfService existing = services.get(service);
+    return existing != null ? existing : services.computeIfAbsent(service, MetricsOfService::new);
   }
 
-  private String name(ServiceName service, ServiceMetric metric) {
+  private String registerName(ServiceName service, ServiceMetric metric) {
     String name = "service." + service + "." + metric.label();
-    owners.put(name, service);
+    serviceByMetricName.put(name, service);
     return name;
   }
 
-  private final class Service {
+  private final class MetricsOfService {
 
     final Meter answered;
     final Histogram loadStall;
     final Histogram firstToken;
     final Histogram total;
-    final Counter running;
-    final Counter places;
+    final Counter batchRunning;
+    final Counter batchSlots;
     final Map<FailureType, Counter> refusals = new ConcurrentHashMap<>();
 
-    Service(ServiceName service) {
-      answered = registry.meter(name(service, ServiceMetric.ANSWERED));
-      loadStall = registry.histogram(name(service, ServiceMetric.LOAD_STALL));
-      firstToken = registry.histogram(name(service, ServiceMetric.FIRST_TOKEN));
-      total = registry.histogram(name(service, ServiceMetric.TOTAL));
-      running = registry.counter(name(service, ServiceMetric.BATCH_RUNNING));
-      places = registry.counter(name(service, ServiceMetric.BATCH_PLACES));
+    MetricsOfService(ServiceName service) {
+      answered = registry.meter(registerName(service, ServiceMetric.ANSWERED));
+      loadStall = registry.histogram(registerName(service, ServiceMetric.LOAD_STALL));
+      firstToken = registry.histogram(registerName(service, ServiceMetric.FIRST_TOKEN));
+      total = registry.histogram(registerName(service, ServiceMetric.TOTAL));
+      batchRunning = registry.counter(registerName(service, ServiceMetric.BATCH_RUNNING));
+      batchSlots = registry.counter(registerName(service, ServiceMetric.BATCH_PLACES));
       Gauge<Double> efficiency = this::efficiency;
-      registry.gauge(name(service, ServiceMetric.BATCH_EFFICIENCY), () -> efficiency);
+      registry.gauge(registerName(service, ServiceMetric.BATCH_EFFICIENCY), () -> efficiency);
     }
 
     double efficiency() {
-      long possible = places.getCount();
-      return possible == 0 ? 0 : (double) running.getCount() / possible;
+      long possible = batchSlots.getCount();
+      return possible == 0 ? 0 : (double) batchRunning.getCount() / possible;
     }
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/metrics/ServiceSampleBuilder.java
+++ b/runtime/src/main/java/org/hornbeamusher/metrics/ServiceSampleBuilder.java
@@ -9,17 +9,17 @@
 import org.hornbeamusher.ids.ServiceName;
 
 /**
- * Turns the service in a metric's name into a label. Left in the name, {@code a.b} and {@code a-b}
- * would both become {@code a_b}, and two services would share one line.
+ * Converts the service in a metric's name to a Prometheus label. In the name, both {@code a.b} and
+ * {@code a-b} would become {@code a_b}, and two services would share one metric.
  */
-final class ServiceLabels implements SampleBuilder {
+final class ServiceSampleBuilder implements SampleBuilder {
 
   private static final String PREFIX = "hornbeamusher.";
 
-  private final SampleBuilder plain = new DefaultSampleBuilder();
+  private final SampleBuilder delegate = new DefaultSampleBuilder();
   private final ServiceMetrics metrics;
 
-  ServiceLabels(ServiceMetrics metrics) {
+  ServiceSampleBuilder(ServiceMetrics metrics) {
     this.metrics = metrics;
   }
 
@@ -28,13 +28,13 @@
       String name, String suffix, List<String> labelNames, List<String> labelValues, double value) {
     Optional<ServiceName> service = metrics.serviceOf(name);
     if (service.isEmpty()) {
-      return plain.createSample(PREFIX + name, suffix, labelNames, labelValues, value);
+      return delegate.createSample(PREFIX + name, suffix, labelNames, labelValues, value);
     }
     List<String> names = new ArrayList<>(labelNames);
     List<String> values = new ArrayList<>(labelValues);
     names.add("service");
     values.add(service.get().value());
     String metric = name.substring(("service." + service.get() + ".").length());
-    return plain.createSample(PREFIX + "service." + metric, suffix, names, values, value);
+    return delegate.createSample(PREFIX + "service." + metric, suffix, names, values, value);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/metrics/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/metrics/package-info.java
@@ -1,6 +1,5 @@
 /**
- * What a process measures of itself: the two measures of the brief for each service (load stalls
- * and batch efficiency), refusals by type, and what control costs. Each partner sees its own
- * services only.
+ * Metrics of a process: load stalls and batch efficiency of each service, refusals by type, and the
+ * use of the table service and of connections. Each partner sees only its own services.
  */
 package org.hornbeamusher.metrics;
--- a/runtime/src/test/java/org/hornbeamusher/metrics/ServiceMetricsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/metrics/ServiceMetricsTest.java
@@ -20,7 +20,7 @@
   private final MetricsReport report = new MetricsReport(metrics);
 
   @Test
-  void answersRefusalsAndBatchesAreCountedByService() throws Exception {
+  void responsesRefusalsAndBatchesAreCountedByService() throws Exception {
     metrics.answered(VALUER, 500, 700, 1_500);
     metrics.answered(VALUER, 0, 60, 800);
     metrics.refused(VALUER, FailureType.QUEUE_FULL);
@@ -37,13 +37,13 @@
   }
 
   @Test
-  void serviceWithoutSamplesHasNoEfficiency() {
+  void batchEfficiencyIsZeroWithoutSamples() {
     assertEquals(0, metrics.batchEfficiency(VALUER));
   }
 
   /**
-   * One partner's operator reads the metrics of a shared process. The other partner's services must
-   * not show, not even by name.
+   * An operator of one partner reads the metrics of a shared process. The other partner's services
+   * must not be visible, not even by name.
    */
   @Test
   void reportShowsVisibleServicesOnly() {
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void prometheusTextNamesTheServiceInLabel() {
+  void prometheusTextHasTheServiceAsLabel() {
     metrics.answered(DISPATCH, 20, 1, 2);
     String text = report.prometheus(service -> true);
     assertTrue(
