--- a/runtime/src/main/java/org/hornbeamusher/settings/LimitSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/LimitSettings.java
@@ -1,13 +1,13 @@
 package org.hornbeamusher.settings;
 
 /**
- * Bounds on what callers may do to an entry.
+ * Limits of an entry for its callers.
  *
- * @param maxBodyBytes longest request body
- * @param maxHeaderBytes longest request header
- * @param requestTimeoutMillis how long a caller may take to send a request
- * @param stallTimeoutMillis how long a caller may leave an answer unread
- * @param maxInFlight most requests at once
+ * @param maxBodyBytes maximum size of a request body
+ * @param maxHeaderBytes maximum size of a request's headers
+ * @param requestTimeoutMillis timeout for receiving a request
+ * @param stallTimeoutMillis timeout for a response that the caller does not read
+ * @param maxInFlight maximum number of requests in progress
  */
 public record LimitSettings(
     int maxBodyBytes,
@@ -17,8 +17,8 @@
     int maxInFlight) {
 
   /**
-   * A prompt of 100,000 tokens fits into 1 MiB. At the size we expect, an entry sees 7 requests a
-   * second; 2,048 at once are five minutes of them.
+   * Defaults: a prompt of 100,000 tokens fits into 1 MiB. At the planned size an entry receives 7
+   * requests a second, so 2,048 in progress are those of five minutes.
    */
   public static final LimitSettings DEFAULT =
       new LimitSettings(1_048_576, 16_384, 10_000, 30_000, 2_048);
--- a/runtime/src/main/java/org/hornbeamusher/settings/TlsSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/settings/TlsSettings.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * Files that hold keys and certificates in PEM form. They are read again while the process runs.
+ * Files with keys and certificates in PEM format. They are reloaded while the process runs.
  *
- * @param certificateFile the certificate chain, own certificate first
- * @param privateKeyFile the private key in PKCS #8 form, not encrypted
- * @param trustedCertificates the certificates of those who may sign a peer's; empty when peers show
- *     none
+ * @param certificateFile file with the certificate chain, own certificate first
+ * @param privateKeyFile file with the private key in PKCS #8 format, not encrypted
+ * @param trustedCertificates file with the CA certificates for peers; empty when peers present no
+ *     certificates
  */
 public record TlsSettings(
     Path certificateFile, Path privateKeyFile, Optional<Path> trustedCertificates) {}
