--- a/runtime/src/main/java/org/hornbeamusher/agent/PermitExchange.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/PermitExchange.java
@@ -118,7 +118,7 @@
     this.onGranted = onGranted;
     this.clock = clock;
     this.choice = new PermitSourceChoice(self, store);
-    this.pacer = new LocalPacer(settings.gapMillis(), self.value().hashCode());
+    this.pacer = new LocalPacer(settings.intervalMillis(), self.value().hashCode());
   }
 
   /** Returns the interface through which the agent requests permits. */
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimSettings.java
@@ -16,7 +16,7 @@
    * Default settings. The retention is three days, so that a caller that fails unattended on a
    * Friday evening and is repaired on Monday morning can still retry.
    */
-  public static final ClaimSettings STANDARD =
+  public static final ClaimSettings DEFAULT =
       new ClaimSettings(72 * 3_600_000L, 3_600_000L, 10_000);
 
   boolean isExpired(ClaimKey key, long now) {
--- a/runtime/src/main/java/org/hornbeamusher/dispatch/AttemptCall.java
+++ b/runtime/src/main/java/org/hornbeamusher/dispatch/AttemptCall.java
@@ -11,10 +11,10 @@
 public final class AttemptCall {
 
   /** Response bytes that may be in transit or queued; 256 KiB is about 30,000 tokens of text. */
-  public static final long INITIAL_CREDIT = 256 * 1024;
+  public static final long INITIAL_CREDIT_BYTES = 256 * 1024;
 
   /** Credit is granted in steps of this size, so that not every token causes a credit frame. */
-  private static final long CREDIT_STEP_BYTES = INITIAL_CREDIT / 4;
+  private static final long CREDIT_STEP_BYTES = INITIAL_CREDIT_BYTES / 4;
 
   private final AgentLink link;
   private final long attempt;
--- a/runtime/src/main/java/org/hornbeamusher/documents/DocumentPeer.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/DocumentPeer.java
@@ -28,5 +28,5 @@
    *
    * @return true if pending requests to it may still be answered, however long that takes
    */
-  boolean receiving();
+  boolean receivingLargeMessage();
 }
--- a/runtime/src/main/java/org/hornbeamusher/documents/PullLedger.java
+++ b/runtime/src/main/java/org/hornbeamusher/documents/PullLedger.java
@@ -53,7 +53,7 @@
   boolean tryBeginPull(ServiceName service, DocumentPeer peer, long now) {
     PendingPull pending = pendingPulls.get(service);
     if (pending != null
-        && (notTimedOut(pending.sinceMillis(), now) || pending.peer().receiving())) {
+        && (notTimedOut(pending.sinceMillis(), now) || pending.peer().receivingLargeMessage())) {
       return false;
     }
     pendingPulls.put(service, new PendingPull(peer, now));
--- a/runtime/src/main/java/org/hornbeamusher/entry/EntryDaemon.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/EntryDaemon.java
@@ -102,13 +102,13 @@
     this.claims =
         new ClaimStore(
             services.table(),
-            ClaimSettings.STANDARD,
+            ClaimSettings.DEFAULT,
             clock,
             () -> new ClaimToken(UUID.randomUUID().toString()));
     this.cleaner =
         new ClaimCleaner(
             services.table(),
-            ClaimSettings.STANDARD,
+            ClaimSettings.DEFAULT,
             clock,
             entryCount::get,
             RandomGenerator.getDefault());
--- a/runtime/src/main/java/org/hornbeamusher/entry/RequestRunner.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/RequestRunner.java
@@ -353,7 +353,7 @@
         document.callerWeights().getOrDefault(request.caller(), 1),
         document.limits().maxQueueLength(),
         request.idempotencyKey().map(Object::toString).orElse(""),
-        AttemptCall.INITIAL_CREDIT);
+        AttemptCall.INITIAL_CREDIT_BYTES);
   }
 
   /**
--- a/runtime/src/main/java/org/hornbeamusher/entry/ResponseReader.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/ResponseReader.java
@@ -43,7 +43,7 @@
   ResponseReader(EndpointId endpoint, Optional<AdapterRef> adapter, long attempt) {
     this.endpoint = endpoint;
     this.adapter = adapter;
-    this.assembler = new ResponseAssembler(attempt, AttemptCall.INITIAL_CREDIT);
+    this.assembler = new ResponseAssembler(attempt, AttemptCall.INITIAL_CREDIT_BYTES);
   }
 
   List<ResponsePart> read(Message.Chunk chunk) {
--- a/runtime/src/main/java/org/hornbeamusher/exchange/WireDocumentPeer.java
+++ b/runtime/src/main/java/org/hornbeamusher/exchange/WireDocumentPeer.java
@@ -50,7 +50,7 @@
   }
 
   @Override
-  public boolean receiving() {
+  public boolean receivingLargeMessage() {
     return connection.receivingLargeMessage();
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitAllocator.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitAllocator.java
@@ -13,11 +13,12 @@
  * holder. Not thread-safe.
  *
  * <p>A permit is granted when fewer than {@link PermitSettings#maxConcurrentLoads} are outstanding
- * and the last one was granted at least {@link PermitSettings#gapMillis} ago. Among the partners
- * that {@link PartnerFairShares} finds entitled, it goes to the agent with the greatest demand,
- * increased by its waiting time: {@code demand × (1 + waited / }{@value #AGEING_MILLIS}{@code ms)}.
- * An agent with little demand is thus passed over for a bounded time only. An agent states the
- * demand of the one adapter that it would load, and states it again when it has doubled or halved.
+ * and the last one was granted at least {@link PermitSettings#intervalMillis} ago. Among the
+ * partners that {@link PartnerFairShares} finds entitled, it goes to the agent with the greatest
+ * demand, increased by its waiting time: {@code demand × (1 + waited / }{@value
+ * #AGEING_MILLIS}{@code ms)}. An agent with little demand is thus passed over for a bounded time
+ * only. An agent states the demand of the one adapter that it would load, and states it again when
+ * it has doubled or halved.
  *
  * <p>Without permits, a shift in popularity or a restart of every engine would make all agents of
  * both partners load in the same second, while the store delivers about two loads a second, one at
@@ -186,6 +187,6 @@
     if (lastGrantMillis == Long.MIN_VALUE) {
       return now;
     }
-    return Math.min(lastGrantMillis + settings.gapMillis(), now + settings.gapMillis());
+    return Math.min(lastGrantMillis + settings.intervalMillis(), now + settings.intervalMillis());
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/pacing/PermitSettings.java
+++ b/runtime/src/main/java/org/hornbeamusher/pacing/PermitSettings.java
@@ -6,14 +6,14 @@
 /**
  * Permit settings of one weight store.
  *
- * @param gapMillis minimum interval between the starts of two loads
+ * @param intervalMillis minimum interval between the starts of two loads
  * @param maxConcurrentLoads maximum number of concurrent loads
  * @param permitExpiryMillis time after which a permit expires if it is not released
  * @param requestExpiryMillis time after which a permit request that is not repeated is dropped
  * @param partnerShares weight of each partner's guaranteed share of the permits
  */
 public record PermitSettings(
-    long gapMillis,
+    long intervalMillis,
     int maxConcurrentLoads,
     long permitExpiryMillis,
     long requestExpiryMillis,
--- a/runtime/src/main/java/org/hornbeamusher/routing/EndpointPool.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/EndpointPool.java
@@ -94,7 +94,7 @@
       callsSinceMedian = 0;
       double[] sorted =
           endpoints.stream()
-              .filter(e -> e.health.samples >= EndpointHealth.MINIMUM_SAMPLES)
+              .filter(e -> e.health.samples >= EndpointSpeed.MINIMUM_SAMPLES)
               .mapToDouble(e -> e.health.slowness)
               .toArray();
       Arrays.sort(sorted);
--- a/runtime/src/main/java/org/hornbeamusher/routing/EndpointHealth.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/EndpointSpeed.java
@@ -6,7 +6,7 @@
  * <p>Slowness is measured in milliseconds per token, so that it does not depend on the length of
  * the responses; for a plain service it is measured in milliseconds per call.
  */
-final class EndpointHealth {
+final class EndpointSpeed {
 
   /** Weight of a new sample in the moving average, which covers about the last ten samples. */
   private static final double SAMPLE_WEIGHT = 0.15;
--- a/runtime/src/main/java/org/hornbeamusher/routing/EndpointState.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/EndpointState.java
@@ -33,7 +33,7 @@
   long loadWaitMillis;
   Set<AdapterRef> resident = Set.of();
 
-  final EndpointHealth health = new EndpointHealth();
+  final EndpointSpeed health = new EndpointSpeed();
 
   EndpointState(EndpointId id, EndpointPool pool, long roundTripMillis, long loadMillis) {
     this.id = id;
--- a/runtime/src/main/java/org/hornbeamusher/routing/OutlierEjection.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/OutlierEjection.java
@@ -32,7 +32,7 @@
   private OutlierEjection() {}
 
   static void attemptSucceeded(EndpointState endpoint, double slowness, long now) {
-    EndpointHealth health = endpoint.health;
+    EndpointSpeed health = endpoint.health;
     if (health.probing) {
       readmitOrEject(endpoint, slowness, endpoint.pool.medianSlowness(), now);
       return;
@@ -42,14 +42,14 @@
   }
 
   static void sampleObserved(EndpointState endpoint, double slowness, long now) {
-    EndpointHealth health = endpoint.health;
+    EndpointSpeed health = endpoint.health;
     if (health.isEjected()) {
       return;
     }
     double median = endpoint.pool.medianSlowness();
     health.addSample(slowness);
     boolean slow =
-        health.samples >= EndpointHealth.MINIMUM_SAMPLES
+        health.samples >= EndpointSpeed.MINIMUM_SAMPLES
             && health.slowness > EJECTION_RATIO * median;
     if (slow && median > 0) {
       eject(endpoint, now);
@@ -57,7 +57,7 @@
   }
 
   static void attemptFailed(EndpointState endpoint, long now) {
-    EndpointHealth health = endpoint.health;
+    EndpointSpeed health = endpoint.health;
     health.consecutiveFailures++;
     if (health.probing || health.consecutiveFailures >= CONSECUTIVE_FAILURE_LIMIT) {
       eject(endpoint, now);
@@ -76,7 +76,7 @@
   }
 
   private static void eject(EndpointState endpoint, long now) {
-    EndpointHealth health = endpoint.health;
+    EndpointSpeed health = endpoint.health;
     if (!health.isEjected()) {
       if (endpoint.pool.ejectedCount >= maximumEjected(endpoint.pool.size())) {
         return;
--- a/runtime/src/main/java/org/hornbeamusher/wire/MessageCodec.java
+++ b/runtime/src/main/java/org/hornbeamusher/wire/MessageCodec.java
@@ -19,7 +19,7 @@
   private static final int STARTED = 3;
   private static final int HEAD = 4;
   private static final int CHUNK = 5;
-  private static final int CLOSING = 6;
+  private static final int RESPONSE_END = 6;
   private static final int FAILED = 7;
   private static final int CANCEL = 8;
   private static final int CREDIT = 9;
@@ -29,21 +29,21 @@
   private static final int DOCUMENT_DIGEST = 13;
   private static final int DOCUMENT_PULL = 14;
   private static final int DOCUMENT_PUSH = 15;
-  private static final int PERMIT_ASK = 16;
+  private static final int PERMIT_REQUEST = 16;
   private static final int PERMIT_GRANT = 17;
-  private static final int PERMIT_DONE = 18;
+  private static final int PERMIT_RELEASE = 18;
   private static final int CRASH_NOTICE = 19;
   private static final int RESERVE = 20;
-  private static final int GRANTED = 21;
-  private static final int PROMPT_READ = 22;
-  private static final int RELEASE = 23;
+  private static final int RESERVATION_GRANTED = 21;
+  private static final int PROMPT_PROCESSED = 22;
+  private static final int RESERVATION_RELEASE = 23;
   private static final int HOLDINGS = 24;
   private static final int PEER_LOAD = 25;
   private static final int ENGINE_COSTS = 26;
   private static final int USAGE_REPORT = 27;
   private static final int USAGE_UPDATE = 28;
   private static final int RATE_PERMIT_REQUEST = 29;
-  private static final int RATE_PERMIT_REPLY = 30;
+  private static final int RATE_PERMIT_RESPONSE = 30;
   private static final int RATE_LIMIT_LIFTED = 31;
 
   /**
@@ -122,7 +122,7 @@
           packBytes(
               packHeader(p, CHUNK, 3).packLong(m.attempt()).packLong(m.sequence()), m.bytes());
       case Message.ResponseEnd m ->
-          packHeader(p, CLOSING, 3)
+          packHeader(p, RESPONSE_END, 3)
               .packLong(m.attempt())
               .packLong(m.chunks())
               .packLong(m.checksum());
@@ -146,7 +146,7 @@
       case Message.DocumentPush m ->
           packBytes(packHeader(p, DOCUMENT_PUSH, 2).packString(m.service()), m.content());
       case Message.PermitRequest m ->
-          packHeader(p, PERMIT_ASK, 4)
+          packHeader(p, PERMIT_REQUEST, 4)
               .packString(m.store())
               .packString(m.endpoint())
               .packString(m.partner())
@@ -157,7 +157,7 @@
               .packLong(m.grantId())
               .packLong(m.expiresMillis());
       case Message.PermitRelease m ->
-          packHeader(p, PERMIT_DONE, 2).packString(m.store()).packLong(m.grantId());
+          packHeader(p, PERMIT_RELEASE, 2).packString(m.store()).packLong(m.grantId());
       case Message.CrashNotice m ->
           packHeader(p, CRASH_NOTICE, 2).packLong(m.fingerprint()).packInt(m.crashes());
       case Message.Reserve m ->
@@ -170,9 +170,12 @@
               .packLong(m.pendingPromptTokens())
               .packLong(m.maxWaitMillis())
               .packLong(m.firstEventTargetMillis());
-      case Message.ReservationGranted m -> packHeader(p, GRANTED, 1).packLong(m.reservation());
-      case Message.PromptProcessed m -> packHeader(p, PROMPT_READ, 1).packLong(m.reservation());
-      case Message.ReservationRelease m -> packHeader(p, RELEASE, 1).packLong(m.reservation());
+      case Message.ReservationGranted m ->
+          packHeader(p, RESERVATION_GRANTED, 1).packLong(m.reservation());
+      case Message.PromptProcessed m ->
+          packHeader(p, PROMPT_PROCESSED, 1).packLong(m.reservation());
+      case Message.ReservationRelease m ->
+          packHeader(p, RESERVATION_RELEASE, 1).packLong(m.reservation());
       case Message.Holdings m -> packHoldings(p, m);
       case Message.PeerLoad m ->
           packHeader(p, PEER_LOAD, 3)
@@ -198,7 +201,7 @@
               .packLong(m.advertisedAgoMillis())
               .packLong(m.maxWaitMillis());
       case Message.RatePermitResponse m ->
-          packHeader(p, RATE_PERMIT_REPLY, 3)
+          packHeader(p, RATE_PERMIT_RESPONSE, 3)
               .packLong(m.requestNumber())
               .packBoolean(m.granted())
               .packLong(m.waitMillis());
@@ -292,7 +295,7 @@
       case STARTED -> new Message.Started(r.readLong(), r.readLong());
       case HEAD -> new Message.Head(r.readLong(), r.readInt(), r.readString());
       case CHUNK -> new Message.Chunk(r.readLong(), r.readLong(), r.readBytes());
-      case CLOSING -> new Message.ResponseEnd(r.readLong(), r.readLong(), r.readLong());
+      case RESPONSE_END -> new Message.ResponseEnd(r.readLong(), r.readLong(), r.readLong());
       case FAILED ->
           new Message.Failed(
               r.readLong(),
@@ -309,10 +312,10 @@
       case DOCUMENT_DIGEST -> new Message.DocumentDigest(r.readLongsByString());
       case DOCUMENT_PULL -> new Message.DocumentPull(r.readString(), r.readLong());
       case DOCUMENT_PUSH -> new Message.DocumentPush(r.readString(), r.readBytes());
-      case PERMIT_ASK ->
+      case PERMIT_REQUEST ->
           new Message.PermitRequest(r.readString(), r.readString(), r.readString(), r.readDouble());
       case PERMIT_GRANT -> new Message.PermitGrant(r.readString(), r.readLong(), r.readLong());
-      case PERMIT_DONE -> new Message.PermitRelease(r.readString(), r.readLong());
+      case PERMIT_RELEASE -> new Message.PermitRelease(r.readString(), r.readLong());
       case CRASH_NOTICE -> new Message.CrashNotice(r.readLong(), r.readInt());
       case RESERVE ->
           new Message.Reserve(
@@ -324,9 +327,9 @@
               r.readLong(),
               r.readLong(),
               r.readLong());
-      case GRANTED -> new Message.ReservationGranted(r.readLong());
-      case PROMPT_READ -> new Message.PromptProcessed(r.readLong());
-      case RELEASE -> new Message.ReservationRelease(r.readLong());
+      case RESERVATION_GRANTED -> new Message.ReservationGranted(r.readLong());
+      case PROMPT_PROCESSED -> new Message.PromptProcessed(r.readLong());
+      case RESERVATION_RELEASE -> new Message.ReservationRelease(r.readLong());
       case HOLDINGS ->
           new Message.Holdings(
               r.readString(),
@@ -343,7 +346,7 @@
       case RATE_PERMIT_REQUEST ->
           new Message.RatePermitRequest(
               r.readLong(), r.readString(), r.readDouble(), r.readLong(), r.readLong());
-      case RATE_PERMIT_REPLY ->
+      case RATE_PERMIT_RESPONSE ->
           new Message.RatePermitResponse(r.readLong(), r.readBoolean(), r.readLong());
       case RATE_LIMIT_LIFTED -> new Message.RateLimitLifted(r.readString(), r.readLong());
       default -> new Message.Unknown(type);
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimStateMachineTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimStateMachineTest.java
@@ -71,7 +71,7 @@
       for (int i = 0; i < ENTRY_COUNT; i++) {
         entries.add(
             new ClaimStore(
-                table, ClaimSettings.STANDARD, clock, () -> new ClaimToken("t-" + ++tokenCount)));
+                table, ClaimSettings.DEFAULT, clock, () -> new ClaimToken("t-" + ++tokenCount)));
       }
     }
 
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimKeeperTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimStoreTest.java
@@ -17,7 +17,7 @@
 import org.hornbeamusher.table.InMemoryTable;
 import org.junit.jupiter.api.Test;
 
-class ClaimKeeperTest {
+class ClaimStoreTest {
 
   private static final ServiceName BOOKINGS = new ServiceName("haul-api");
   private static final long START_MILLIS = 1_764_700_000_000L;
@@ -35,7 +35,7 @@
     assertInstanceOf(ClaimResult.Acquired.class, claim(firstEntry));
 
     assertEquals(
-        new ClaimResult.InProgress(DEADLINE_MILLIS + ClaimSettings.STANDARD.graceMillis()),
+        new ClaimResult.InProgress(DEADLINE_MILLIS + ClaimSettings.DEFAULT.graceMillis()),
         claim(secondEntry));
   }
 
@@ -91,7 +91,7 @@
   void abandonedClaimIsReleasedInTheBackground() {
     DelayedTable late = new DelayedTable(table);
     ClaimStore slow =
-        new ClaimStore(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
+        new ClaimStore(late, ClaimSettings.DEFAULT, clock, () -> new ClaimToken("slow"));
     late.loseResponses(true);
     ClaimResult refused = claim(slow);
     late.loseResponses(false);
@@ -115,7 +115,7 @@
   void releaseDoesNotChangeAnotherEntrysClaim() {
     DelayedTable late = new DelayedTable(table);
     ClaimStore slow =
-        new ClaimStore(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
+        new ClaimStore(late, ClaimSettings.DEFAULT, clock, () -> new ClaimToken("slow"));
     late.loseResponses(true);
     claim(slow);
     late.loseResponses(false);
@@ -135,7 +135,7 @@
   void claimThatArrivesAfterItsReleaseHasNoEffect() {
     DelayedTable late = new DelayedTable(table);
     ClaimStore slow =
-        new ClaimStore(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
+        new ClaimStore(late, ClaimSettings.DEFAULT, clock, () -> new ClaimToken("slow"));
     late.loseResponses(true);
     claim(slow);
     late.loseResponses(false);
@@ -154,11 +154,11 @@
   void claimOfDeadEntryReadsAsUnknownPermanently() {
     acquire(firstEntry);
 
-    clock.advance(DEADLINE_MILLIS + ClaimSettings.STANDARD.graceMillis() - 1);
+    clock.advance(DEADLINE_MILLIS + ClaimSettings.DEFAULT.graceMillis() - 1);
     assertInstanceOf(ClaimResult.InProgress.class, claim(secondEntry));
     clock.advance(1);
     assertInstanceOf(ClaimResult.Unknown.class, claim(secondEntry));
-    clock.advance(ClaimSettings.STANDARD.retentionMillis() / 2);
+    clock.advance(ClaimSettings.DEFAULT.retentionMillis() / 2);
     assertInstanceOf(ClaimResult.Unknown.class, claim(secondEntry));
   }
 
@@ -169,7 +169,7 @@
   @Test
   void pausedEntryFinishesItsClaimAsNotRun() {
     Claim claim = acquire(firstEntry);
-    clock.advance(DEADLINE_MILLIS + ClaimSettings.STANDARD.graceMillis());
+    clock.advance(DEADLINE_MILLIS + ClaimSettings.DEFAULT.graceMillis());
     assertInstanceOf(ClaimResult.Unknown.class, claim(secondEntry));
 
     assertFalse(claim.mayDispatch(clock.millis()));
@@ -186,7 +186,7 @@
   void claimAcquiredAfterTheDeadlineIsReleased() {
     DelayedTable late = new DelayedTable(table);
     ClaimStore slow =
-        new ClaimStore(late, ClaimSettings.STANDARD, clock, () -> new ClaimToken("slow"));
+        new ClaimStore(late, ClaimSettings.DEFAULT, clock, () -> new ClaimToken("slow"));
     late.delayTransactions();
     ClaimResult result = slow.claim(BOOKINGS, key, "print", START_MILLIS + 1).join();
     assertEquals(FailureType.CLAIM_UNAVAILABLE, result.failure().orElseThrow().type());
@@ -252,7 +252,7 @@
    */
   @Test
   void keyOlderThanTheRetentionIsRefused() {
-    clock.advance(ClaimSettings.STANDARD.retentionMillis() + 1);
+    clock.advance(ClaimSettings.DEFAULT.retentionMillis() + 1);
 
     assertEquals(FailureType.CLAIM_KEY_EXPIRED, claim(firstEntry).failure().orElseThrow().type());
   }
@@ -288,8 +288,8 @@
   void cleanerDeletesOnlyRowsThatNoEntryCanClaim() {
     acquire(firstEntry);
     ClaimCleaner cleaner =
-        new ClaimCleaner(table, ClaimSettings.STANDARD, clock, () -> 400, new Random(1));
-    long kept = ClaimSettings.STANDARD.retentionMillis() + 2 * 3_600_000L;
+        new ClaimCleaner(table, ClaimSettings.DEFAULT, clock, () -> 400, new Random(1));
+    long kept = ClaimSettings.DEFAULT.retentionMillis() + 2 * 3_600_000L;
 
     clock.advance(kept);
     assertEquals(0, cleaner.deleteExpired().join());
@@ -300,7 +300,7 @@
 
   private ClaimStore keeper() {
     return new ClaimStore(
-        table, ClaimSettings.STANDARD, clock, () -> new ClaimToken("token-" + ++tokenCount));
+        table, ClaimSettings.DEFAULT, clock, () -> new ClaimToken("token-" + ++tokenCount));
   }
 
   private ClaimResult claim(ClaimStore keeper) {
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentSyncTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentSyncTest.java
@@ -222,7 +222,7 @@
     }
 
     @Override
-    public boolean receiving() {
+    public boolean receivingLargeMessage() {
       return receiving;
     }
 
--- a/runtime/src/test/java/org/hornbeamusher/fencing/FencingLeaseTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/fencing/FencingNumberAllocatorTest.java
@@ -10,7 +10,7 @@
 import org.hornbeamusher.table.InMemoryTable;
 import org.junit.jupiter.api.Test;
 
-class FencingLeaseTest {
+class FencingNumberAllocatorTest {
 
   private final InMemoryTable table = new InMemoryTable();
 
--- a/runtime/src/test/java/org/hornbeamusher/membership/PeerCountTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/membership/RecentMaximumPeerCountTest.java
@@ -5,7 +5,7 @@
 import java.util.OptionalInt;
 import org.junit.jupiter.api.Test;
 
-class PeerCountTest {
+class RecentMaximumPeerCountTest {
 
   private static final long WINDOW_MILLIS = 30_000;
 
--- a/runtime/src/test/java/org/hornbeamusher/pacing/PermitLedgerTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/pacing/PermitAllocatorTest.java
@@ -14,7 +14,7 @@
 import org.hornbeamusher.ids.PartnerId;
 import org.junit.jupiter.api.Test;
 
-class PermitLedgerTest {
+class PermitAllocatorTest {
 
   private static final PartnerId ZARQA = new PartnerId("zarqa");
   private static final PartnerId TAWHITI = new PartnerId("tawhiti");
@@ -22,7 +22,7 @@
   private static final EndpointId TWO = new EndpointId("valuer-llm-2");
   private static final EndpointId THREE = new EndpointId("valuer-llm-3");
 
-  private final PermitAllocator ledger = new PermitAllocator(PermitSettings.of(Map.of()));
+  private final PermitAllocator allocator = new PermitAllocator(PermitSettings.of(Map.of()));
 
   /**
    * Guards against concurrent loads, each of which would take twice as long. The second agent gets
@@ -30,15 +30,15 @@
    */
   @Test
   void onePermitIsOutstandingAndTwoAreGrantedPerSecond() {
-    ledger.request(ONE, ZARQA, 5, 1_000);
-    ledger.request(TWO, TAWHITI, 1, 1_000);
-    assertEquals(new PermitDecision.Grant(ONE, 1, 4_000), ledger.poll(1_000));
-    assertEquals(new PermitDecision.Wait(4_000), ledger.poll(1_001));
-    ledger.release(ONE, 1);
-    assertEquals(new PermitDecision.Wait(1_500), ledger.poll(1_200));
-    assertEquals(new PermitDecision.Grant(TWO, 2, 4_500), ledger.poll(1_500));
-    ledger.release(TWO, 2);
-    assertEquals(new PermitDecision.Wait(Long.MAX_VALUE), ledger.poll(9_000));
+    allocator.request(ONE, ZARQA, 5, 1_000);
+    allocator.request(TWO, TAWHITI, 1, 1_000);
+    assertEquals(new PermitDecision.Grant(ONE, 1, 4_000), allocator.poll(1_000));
+    assertEquals(new PermitDecision.Wait(4_000), allocator.poll(1_001));
+    allocator.release(ONE, 1);
+    assertEquals(new PermitDecision.Wait(1_500), allocator.poll(1_200));
+    assertEquals(new PermitDecision.Grant(TWO, 2, 4_500), allocator.poll(1_500));
+    allocator.release(TWO, 2);
+    assertEquals(new PermitDecision.Wait(Long.MAX_VALUE), allocator.poll(9_000));
   }
 
   /**
@@ -47,21 +47,21 @@
    */
   @Test
   void permitOfCrashedAgentExpires() {
-    ledger.request(ONE, ZARQA, 1, 0);
-    ledger.request(TWO, TAWHITI, 1, 0);
-    ledger.poll(0);
-    assertEquals(new PermitDecision.Wait(3_000), ledger.poll(2_999));
-    assertEquals(new PermitDecision.Grant(TWO, 2, 6_000), ledger.poll(3_000));
-    ledger.request(THREE, TAWHITI, 1, 3_600);
-    ledger.removeAgent(TWO);
-    assertEquals(new PermitDecision.Grant(THREE, 3, 6_600), ledger.poll(3_600));
+    allocator.request(ONE, ZARQA, 1, 0);
+    allocator.request(TWO, TAWHITI, 1, 0);
+    allocator.poll(0);
+    assertEquals(new PermitDecision.Wait(3_000), allocator.poll(2_999));
+    assertEquals(new PermitDecision.Grant(TWO, 2, 6_000), allocator.poll(3_000));
+    allocator.request(THREE, TAWHITI, 1, 3_600);
+    allocator.removeAgent(TWO);
+    assertEquals(new PermitDecision.Grant(THREE, 3, 6_600), allocator.poll(3_600));
   }
 
   /** Guards against permits granted to an agent that requested one and was then disconnected. */
   @Test
   void requestThatIsNotRepeatedIsDropped() {
-    ledger.request(ONE, ZARQA, 1, 0);
-    assertEquals(new PermitDecision.Wait(Long.MAX_VALUE), ledger.poll(3_500));
+    allocator.request(ONE, ZARQA, 1, 0);
+    assertEquals(new PermitDecision.Wait(Long.MAX_VALUE), allocator.poll(3_500));
   }
 
   /**
@@ -71,20 +71,20 @@
    */
   @Test
   void requestThatCrossesTheGrantIsIgnored() {
-    ledger.request(ONE, ZARQA, 1, 0);
-    ledger.poll(0);
-    ledger.request(ONE, ZARQA, 1, 100);
-    ledger.release(ONE, 1);
-    assertEquals(new PermitDecision.Wait(Long.MAX_VALUE), ledger.poll(600));
+    allocator.request(ONE, ZARQA, 1, 0);
+    allocator.poll(0);
+    allocator.request(ONE, ZARQA, 1, 100);
+    allocator.release(ONE, 1);
+    assertEquals(new PermitDecision.Wait(Long.MAX_VALUE), allocator.poll(600));
   }
 
   /** The grant was lost with its connection, and the agent requests a permit again. */
   @Test
   void requestAfterLostGrantIsServed() {
-    ledger.request(ONE, ZARQA, 1, 0);
-    ledger.poll(0);
-    ledger.request(ONE, ZARQA, 1, 1_000);
-    assertEquals(new PermitDecision.Grant(ONE, 2, 4_000), ledger.poll(1_000));
+    allocator.request(ONE, ZARQA, 1, 0);
+    allocator.poll(0);
+    allocator.request(ONE, ZARQA, 1, 1_000);
+    assertEquals(new PermitDecision.Grant(ONE, 2, 4_000), allocator.poll(1_000));
   }
 
   /**
@@ -95,14 +95,14 @@
   void floodingPartnerDoesNotStarveTheOther() {
     List<EndpointId> order = new ArrayList<>();
     long now = 0;
-    ledger.request(TWO, TAWHITI, 0.01, now);
+    allocator.request(TWO, TAWHITI, 0.01, now);
     for (int round = 0; round < 8; round++) {
-      ledger.request(ONE, ZARQA, 1_000, now);
-      if (ledger.poll(now) instanceof PermitDecision.Grant grant) {
+      allocator.request(ONE, ZARQA, 1_000, now);
+      if (allocator.poll(now) instanceof PermitDecision.Grant grant) {
         order.add(grant.agent());
-        ledger.release(grant.agent(), grant.grantId());
+        allocator.release(grant.agent(), grant.grantId());
       }
-      ledger.request(TWO, TAWHITI, 0.01, now);
+      allocator.request(TWO, TAWHITI, 0.01, now);
       now += 500;
     }
     assertEquals(List.of(ONE, TWO, ONE, TWO, ONE, TWO, ONE, TWO), order);
@@ -111,11 +111,11 @@
   /** Guards against a clock that steps back by an hour and delays every load for an hour. */
   @Test
   void clockSetBackDelaysNextGrantByOneIntervalOnly() {
-    ledger.request(ONE, ZARQA, 1, 3_600_000);
-    ledger.poll(3_600_000);
-    ledger.release(ONE, 1);
-    ledger.request(TWO, TAWHITI, 1, 0);
-    assertEquals(new PermitDecision.Wait(500), ledger.poll(0));
+    allocator.request(ONE, ZARQA, 1, 3_600_000);
+    allocator.poll(3_600_000);
+    allocator.release(ONE, 1);
+    allocator.request(TWO, TAWHITI, 1, 0);
+    assertEquals(new PermitDecision.Wait(500), allocator.poll(0));
   }
 
   /**
--- a/runtime/src/test/java/org/hornbeamusher/ratelimit/EndpointLimitTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/ratelimit/EndpointRateLimitTest.java
@@ -7,7 +7,7 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-class EndpointLimitTest {
+class EndpointRateLimitTest {
 
   private static final AdvertisedRateLimit NONE = new AdvertisedRateLimit.None();
 
--- a/runtime/src/test/java/org/hornbeamusher/suspects/SuspectRowsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/suspects/SuspectStoreTest.java
@@ -9,7 +9,7 @@
 import org.hornbeamusher.table.InMemoryTable;
 import org.junit.jupiter.api.Test;
 
-class SuspectRowsTest {
+class SuspectStoreTest {
 
   private static final long FINGERPRINT = 0x1234L;
   private final ManualClock clock = new ManualClock(1_000_000);
--- a/tool/src/main/java/org/hornbeamusher/bench/capacity/TableCounts.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/capacity/TableCounts.java
@@ -91,7 +91,7 @@
       ClaimStore keeper =
           new ClaimStore(
               table,
-              ClaimSettings.STANDARD,
+              ClaimSettings.DEFAULT,
               clock,
               () -> new ClaimToken(UUID.randomUUID().toString()));
       Calls claims =
--- a/tool/src/main/java/org/hornbeamusher/bench/faults/ClaimHistory.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/faults/ClaimHistory.java
@@ -174,7 +174,7 @@
       keeper =
           new ClaimStore(
               table,
-              ClaimSettings.STANDARD,
+              ClaimSettings.DEFAULT,
               timeline.clock(),
               () -> new ClaimToken(number + "-" + ++drawn));
       if (breakage != Breakage.ENDS_FORGOTTEN) {
--- a/tool/src/main/java/org/hornbeamusher/bench/faults/DocumentHistory.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/faults/DocumentHistory.java
@@ -288,7 +288,7 @@
 
       /** Messages arrive whole here. */
       @Override
-      public boolean receiving() {
+      public boolean receivingLargeMessage() {
         return false;
       }
 
