--- a/runtime/src/main/java/org/hornbeamusher/membership/PeerTable.java
+++ b/runtime/src/main/java/org/hornbeamusher/membership/PeerTable.java
@@ -53,7 +53,7 @@
                 Collectors.toMap(
                     PeerListEntry::address, entry -> entry, PeerTable::preferReplacement));
     List<PeerEvent> events = new ArrayList<>();
-    byAddress.values().forEach(entry -> getOrAdd(entry.address()).listEntry = Optional.of(entry));
+    byAddress.values().forEach(entry -> findOrAdd(entry.address()).listEntry = Optional.of(entry));
     peers.forEach(
         (address, peer) -> {
           if (!byAddress.containsKey(address)) {
@@ -77,7 +77,7 @@
    */
   public List<PeerEvent> helloReceived(
       String address, long connection, String instance, ProcessIncarnation incarnation) {
-    Peer peer = getOrAdd(address);
+    Peer peer = findOrAdd(address);
     if (peer.process != null && peer.process.connection > connection) {
       return List.of();
     }
@@ -152,7 +152,7 @@
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
-  private Peer getOrAdd(String address) {
+  private Peer findOrAdd(String address) {
     return peers.computeIfAbsent(address, unused -> new Peer());
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/routing/AdapterState.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/AdapterState.java
@@ -91,7 +91,7 @@
 
   void attemptStarted(EndpointState endpoint, long now) {
     demand.add(now);
-    AdapterReplica replica = getOrAddReplica(endpoint);
+    AdapterReplica replica = findOrAddReplica(endpoint);
     if (!replica.resident && replica.outstanding == 0) {
       replica.loadStartMillis = now;
       replica.expectedLoadMillis = endpoint.loadWaitMillis;
@@ -108,7 +108,7 @@
   }
 
   void markResident(EndpointState endpoint) {
-    getOrAddReplica(endpoint).resident = true;
+    findOrAddReplica(endpoint).resident = true;
   }
 
   void markEvicted(EndpointState endpoint) {
@@ -123,7 +123,7 @@
     return replicas.isEmpty() && now - demand.lastUpdateMillis() > idleMillis;
   }
 
-  private AdapterReplica getOrAddReplica(EndpointState endpoint) {
+  private AdapterReplica findOrAddReplica(EndpointState endpoint) {
     AdapterReplica replica = replicaAt(endpoint);
     if (replica == null) {
       replica = new AdapterReplica(endpoint);
