--- a/tool/src/main/java/org/hornbeamusher/demo/Demo.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/Demo.java
@@ -24,12 +24,12 @@
 import org.hornbeamusher.standin.EngineSettings;
 
 /**
- * Runs both partners side by side for about 15 seconds and checks what their callers receive.
+ * Runs the deployments of both partners with about 15 seconds of load and checks the outcomes.
  *
- * <p>While the workload runs, an engine restarts cold, an agent drains, and a team changes its
- * document. The demo fails when an answer was wrong, a request was lost or repeated, an adapter was
- * unloaded while it served, a draining endpoint got new work, or the new document did not come into
- * force everywhere.
+ * <p>While the workload runs, an engine restarts without resident adapters, an agent drains, and a
+ * team submits a new document version. The demo fails when a response was wrong, a request was lost
+ * or repeated, an adapter was unloaded while in use, a draining endpoint got new requests, or the
+ * new document version did not become current everywhere.
  */
 public final class Demo {
 
@@ -41,29 +41,35 @@
   private static final int MAX_TOKENS = 32;
   private static final int PROMPT_CHARACTERS = 120;
 
-  /** With this exponent 97 in 100 requests ask for the 48 adapters that a pool can hold. */
-  private static final double SKEW = 1.8;
+  /**
+   * Zipf exponent. With this value 97 % of the requests are for the 48 most popular adapters, as
+   * many as the engines of a pool have slots for.
+   */
+  private static final double ZIPF_EXPONENT = 1.8;
 
   private static final double STREAMED_SHARE = 0.5;
-  private static final double ONCE_SHARE = 0.1;
+  private static final double NON_REPEATABLE_SHARE = 0.1;
   private static final double RESEND_SHARE = 0.5;
   private static final long DEADLINE_MILLIS = 8_000;
-  private static final long START_LIMIT_MILLIS = 30_000;
-  private static final long STEP_MILLIS = 50;
+  private static final long START_TIMEOUT_MILLIS = 30_000;
+  private static final long POLL_INTERVAL_MILLIS = 50;
   private static final int RESTART_SECOND = 4;
   private static final int DRAIN_SECOND = 7;
   private static final int CHANGE_SECOND = 10;
 
-  /** Within this time of its word a draining endpoint may still get work that was under way. */
-  private static final long DRAIN_MILLIS = 2_000;
+  /**
+   * Time after the drain order in which an endpoint may still get requests that were already on
+   * their way.
+   */
+  private static final long DRAIN_GRACE_MILLIS = 2_000;
 
   private final PrintStream out;
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> failures = new ArrayList<>();
 
   /**
    * Creates a demo.
    *
-   * @param out takes its progress and totals
+   * @param out stream to print progress and results to
    */
   public Demo(PrintStream out) {
     this.out = out;
@@ -72,7 +78,7 @@
   /**
    * Runs the demo.
    *
-   * @return 0, or 1 if anything that must always hold did not
+   * @return 0, or 1 if a check failed
    * @throws InterruptedException when interrupted
    */
   public int run() throws InterruptedException {
@@ -83,33 +89,33 @@
     deployment.start();
     client.start();
     try {
-      plans.forEach(plan -> fillSlots(deployment, plan));
+      plans.forEach(plan -> preloadAdapters(deployment, plan));
       awaitReady(deployment, plans);
       Map<String, LoadReport> reports = runWorkload(deployment, client, plans);
       checkEngines(deployment);
-      return conclude(deployment, reports);
+      return reportResult(deployment, reports);
     } finally {
       client.stop();
       deployment.stop();
     }
   }
 
-  /** Engines that have run for a while hold the adapters that are called most. */
-  private static void fillSlots(Deployment deployment, PartnerPlan plan) {
-    for (int engine = 0; engine < plan.engines(); engine++) {
+  /** Makes the most popular adapters resident, as in engines that have run for a while. */
+  private static void preloadAdapters(Deployment deployment, PartnerPlan plan) {
+    for (int engine = 0; engine < plan.engineCount(); engine++) {
       int first = engine;
-      List<AdapterRef> held =
+      List<AdapterRef> popular =
           IntStream.range(0, SLOTS - 1)
-              .mapToObj(n -> adapter(plan, first + n * plan.engines()))
+              .mapToObj(n -> adapter(plan, first + n * plan.engineCount()))
               .toList();
-      deployment.engines().get(new EndpointId(plan.model() + "-" + engine)).hold(held);
+      deployment.engines().get(new EndpointId(plan.model() + "-" + engine)).makeResident(popular);
     }
   }
 
   private void awaitReady(Deployment deployment, List<PartnerPlan> plans)
       throws InterruptedException {
     int endpoints = deployment.agents().size();
-    for (long waited = 0; waited < START_LIMIT_MILLIS; waited += STEP_MILLIS) {
+    for (long waited = 0; waited < START_TIMEOUT_MILLIS; waited += POLL_INTERVAL_MILLIS) {
       boolean ready =
           plans.stream()
               .flatMap(plan -> deployment.entries(plan).stream())
@@ -118,9 +124,9 @@
         out.printf("demo: ready, every entry reaches %d endpoints%n", endpoints);
         return;
       }
-      Thread.sleep(STEP_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
-    broken.add("not every entry reached every endpoint within 30 s");
+    failures.add("not every entry reached every endpoint within 30 s");
   }
 
   private Map<String, LoadReport> runWorkload(
@@ -128,8 +134,8 @@
       throws InterruptedException {
     Map<String, CompletableFuture<LoadReport>> running = new LinkedHashMap<>();
     for (PartnerPlan plan : plans) {
-      running.put(plan.model().value(), begin(client, modelLoad(deployment, plan)));
-      running.put(plan.plain().value(), begin(client, plainLoad(deployment, plan)));
+      running.put(plan.model().value(), startLoad(client, modelLoad(deployment, plan)));
+      running.put(plan.plain().value(), startLoad(client, plainLoad(deployment, plan)));
     }
     ScheduledExecutorService script = Executors.newSingleThreadScheduledExecutor();
     schedule(script, RESTART_SECOND, () -> restartEngine(deployment));
@@ -138,8 +144,8 @@
     Map<String, LoadReport> reports = new LinkedHashMap<>();
     running.forEach((service, report) -> reports.put(service, report.join()));
     script.shutdown();
-    if (!script.awaitTermination(START_LIMIT_MILLIS, TimeUnit.MILLISECONDS)) {
-      broken.add("the changes in the middle did not end");
+    if (!script.awaitTermination(START_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+      failures.add("the changes in the middle did not end");
     }
     return reports;
   }
@@ -150,14 +156,14 @@
           try {
             change.run();
           } catch (HornbeamusherException e) {
-            broken.add("second " + second + ": " + e.getMessage());
+            failures.add("second " + second + ": " + e.getMessage());
           }
         },
         second,
         TimeUnit.SECONDS);
   }
 
-  private static CompletableFuture<LoadReport> begin(HttpClient client, LoadSettings settings) {
+  private static CompletableFuture<LoadReport> startLoad(HttpClient client, LoadSettings settings) {
     CompletableFuture<LoadReport> report = new CompletableFuture<>();
     Thread.ofPlatform()
         .name("demo-load")
@@ -174,9 +180,10 @@
 
   private static LoadSettings modelLoad(Deployment deployment, PartnerPlan plan) {
     List<AdapterRef> adapters =
-        IntStream.range(0, plan.adapters()).mapToObj(n -> adapter(plan, n)).toList();
+        IntStream.range(0, plan.adapterCount()).mapToObj(n -> adapter(plan, n)).toList();
     Traffic traffic =
-        new Traffic.Model(adapters, SKEW, 0, STREAMED_SHARE, PROMPT_CHARACTERS, MAX_TOKENS);
+        new Traffic.Model(
+            adapters, ZIPF_EXPONENT, 0, STREAMED_SHARE, PROMPT_CHARACTERS, MAX_TOKENS);
     return LoadSettings.of(
             uris(deployment, plan),
             Deployment.callerToken(plan),
@@ -184,7 +191,7 @@
             MODEL_RATE,
             traffic)
         .withDeadline(DEADLINE_MILLIS)
-        .withOnce(ONCE_SHARE, RESEND_SHARE);
+        .withNonRepeatable(NON_REPEATABLE_SHARE, RESEND_SHARE);
   }
 
   private static LoadSettings plainLoad(Deployment deployment, PartnerPlan plan) {
@@ -194,7 +201,7 @@
             PLAIN_RATE * WORKLOAD_SECONDS,
             PLAIN_RATE,
             new Traffic.Plain(plan.plain(), plan.bookings()))
-        .withOnce(1, RESEND_SHARE);
+        .withNonRepeatable(1, RESEND_SHARE);
   }
 
   private static List<URI> uris(Deployment deployment, PartnerPlan plan) {
@@ -215,11 +222,11 @@
     EndpointId endpoint = new EndpointId(PartnerPlan.TAWHITI.model() + "-4");
     out.printf("demo: second %d, the agent of %s drains%n", DRAIN_SECOND, endpoint);
     deployment.agents().get(endpoint).drain();
-    pause(DRAIN_MILLIS);
+    pause(DRAIN_GRACE_MILLIS);
     long before = runs(deployment, endpoint);
-    pause(DRAIN_MILLIS / 2);
+    pause(DRAIN_GRACE_MILLIS / 2);
     if (runs(deployment, endpoint) != before) {
-      broken.add("endpoint " + endpoint + " got new work 2 s after its agent was drained");
+      failures.add("endpoint " + endpoint + " got new work 2 s after its agent was drained");
     }
   }
 
@@ -233,17 +240,17 @@
     PartnerPlan plan = PartnerPlan.ZARQA;
     String text = deployment.documentText(plan).replace("queue = 256", "queue = 200");
     long version = deployment.submit(plan, text, 1);
-    for (long waited = 0; waited < START_LIMIT_MILLIS; waited += STEP_MILLIS) {
-      if (deployment.inForce(plan.model(), version)) {
+    for (long waited = 0; waited < START_TIMEOUT_MILLIS; waited += POLL_INTERVAL_MILLIS) {
+      if (deployment.hasVersionEverywhere(plan.model(), version)) {
         out.printf(
             "demo: second %d, version %d of %s accepted, in force in every process after"
                 + " about %d ms%n",
             CHANGE_SECOND, version, plan.model(), waited);
         return;
       }
-      pause(STEP_MILLIS);
+      pause(POLL_INTERVAL_MILLIS);
     }
-    broken.add("version " + version + " of " + plan.model() + " did not come into force");
+    failures.add("version " + version + " of " + plan.model() + " did not come into force");
   }
 
   private void checkEngines(Deployment deployment) {
@@ -252,12 +259,12 @@
         .forEach(
             (endpoint, engine) -> {
               if (engine.counts().unloadsInUse() > 0) {
-                broken.add("an adapter was unloaded at " + endpoint + " while it served");
+                failures.add("an adapter was unloaded at " + endpoint + " while it served");
               }
             });
   }
 
-  private int conclude(Deployment deployment, Map<String, LoadReport> reports) {
+  private int reportResult(Deployment deployment, Map<String, LoadReport> reports) {
     DemoTable.print(out, deployment, reports);
     int requests = 0;
     int answered = 0;
@@ -271,11 +278,11 @@
       lost += report.lost();
       repeated += report.repeated();
     }
-    broken.forEach(what -> out.println("demo: broken: " + what));
+    failures.forEach(what -> out.println("demo: broken: " + what));
     out.printf(
         "demo: %d requests, %d answered, %d refused, %d wrong, %d lost, %d repeated%n",
         requests, answered, requests - answered - wrong - lost, wrong, lost, repeated);
-    return broken.isEmpty() && wrong + lost + repeated == 0 ? 0 : 1;
+    return failures.isEmpty() && wrong + lost + repeated == 0 ? 0 : 1;
   }
 
   private static void pause(long millis) {
--- a/tool/src/main/java/org/hornbeamusher/demo/DocumentTexts.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/DemoDocuments.java
@@ -1,11 +1,11 @@
 package org.hornbeamusher.demo;
 
-/** The service documents of a partner, as its teams would write them. */
-final class DocumentTexts {
+/** Generates the service documents of a partner. */
+final class DemoDocuments {
 
-  private DocumentTexts() {}
+  private DemoDocuments() {}
 
-  static String model(PartnerPlan plan, int slots, int batch, int queue) {
+  static String modelDocument(PartnerPlan plan, int slots, int batch, int queue) {
     StringBuilder text = new StringBuilder();
     text.append(header(plan, plan.model().value()));
     text.append("[model]\n");
@@ -20,13 +20,13 @@
     text.append("[limits]\n");
     text.append("queue = ").append(queue).append('\n');
     text.append("[adapters]\n");
-    for (int i = 0; i < plan.adapters(); i++) {
+    for (int i = 0; i < plan.adapterCount(); i++) {
       text.append("\"a-").append(i).append("\" = { current = 1, versions = [1] }\n");
     }
     return text.toString();
   }
 
-  static String plain(PartnerPlan plan, int concurrency) {
+  static String plainDocument(PartnerPlan plan, int concurrency) {
     return header(plan, plan.plain().value())
         + "[plain]\n"
         + ("concurrency = " + concurrency + "\n")
--- a/tool/src/main/java/org/hornbeamusher/demo/DemoTable.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/DemoTable.java
@@ -7,7 +7,7 @@
 import org.hornbeamusher.standin.EngineCounts;
 import org.hornbeamusher.standin.EngineStandin;
 
-/** Prints what each service's callers received. */
+/** Prints the outcomes of each service's requests as a table. */
 final class DemoTable {
 
   private static final double MICROS_PER_MILLI = 1e3;
@@ -43,7 +43,7 @@
         report.total().getValueAtPercentile(95) / MICROS_PER_MILLI,
         report.loadStall().getValueAtPercentile(50) / MICROS_PER_MILLI,
         report.loadStall().getValueAtPercentile(95) / MICROS_PER_MILLI,
-        batch(deployment, service));
+        batchUtilisation(deployment, service));
   }
 
   private static void failures(PrintStream out, String service, LoadReport report) {
@@ -55,8 +55,11 @@
     report.examples().forEach(example -> out.printf("  %s: %s%n", service, example));
   }
 
-  /** Returns the share of batch places that were filled in the steps of a service's engines. */
-  private static String batch(Deployment deployment, String service) {
+  /**
+   * Returns the batch utilisation of a service's engines: the percentage of batch slots filled,
+   * averaged over their steps.
+   */
+  private static String batchUtilisation(Deployment deployment, String service) {
     long steps = 0;
     long filled = 0;
     for (var entry : deployment.engines().entrySet()) {
@@ -69,6 +72,6 @@
     }
     return steps == 0
         ? "-"
-        : String.format("%.0f%%", PERCENT * filled / (steps * deployment.batch()));
+        : String.format("%.0f%%", PERCENT * filled / (steps * deployment.batchCapacity()));
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/demo/Deployment.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/Deployment.java
@@ -48,13 +48,12 @@
 /**
  * Entries, agents and stand-ins of the given partners in one process, over loopback.
  *
- * <p>The daemons are the real ones and meet everything through sockets; only that they share a
- * process is different from how they are run. Used by the demo, by benchmarks and by tests of
- * faults.
+ * <p>The daemons are the real ones and communicate through sockets only; the sole difference from
+ * production is that they share a process. Used by the demo, by benchmarks and by fault tests.
  */
 public final class Deployment {
 
-  private static final int QUEUE = 256;
+  private static final int QUEUE_CAPACITY = 256;
   private static final int PLAIN_CONCURRENCY = 32;
   private static final long LOAD_MILLIS = 500;
   private static final long PLATFORM_TIMEOUT_MILLIS = 2_000;
@@ -72,7 +71,7 @@
           clock);
   private final HttpClient http = new HttpClient(1);
   private final Map<EndpointId, EngineStandin> engines = new LinkedHashMap<>();
-  private final Map<EndpointId, PlainServiceStandin> plains = new LinkedHashMap<>();
+  private final Map<EndpointId, PlainServiceStandin> plainServices = new LinkedHashMap<>();
   private final Map<EndpointId, AgentDaemon> agents = new LinkedHashMap<>();
   private final Map<PartnerPlan, List<EntryDaemon>> entries = new LinkedHashMap<>();
   private final List<PartnerPlan> plans;
@@ -82,22 +81,25 @@
    * Creates a deployment that is not started.
    *
    * @param plans the partners
-   * @param engineSettings figures of every engine; its port must be 0
+   * @param engineSettings settings of all engines; the port must be 0
    */
   public Deployment(List<PartnerPlan> plans, EngineSettings engineSettings) {
     this.plans = List.copyOf(plans);
     this.engineSettings = engineSettings;
   }
 
-  /** Starts stand-ins, submits every service's document, then starts agents and entries. */
+  /**
+   * Starts the weight store and the platform, submits the service documents, then starts engines
+   * and plain services with their agents, and last the entries.
+   */
   public void start() {
     http.start();
     store.start();
     platform.start();
     for (PartnerPlan plan : plans) {
       submit(plan, documentText(plan), 0);
-      submit(plan, DocumentTexts.plain(plan, PLAIN_CONCURRENCY), 0);
-      for (int i = 0; i < plan.engines(); i++) {
+      submit(plan, DemoDocuments.plainDocument(plan, PLAIN_CONCURRENCY), 0);
+      for (int i = 0; i < plan.engineCount(); i++) {
         startEngine(plan, i);
       }
       for (int i = 0; i < plan.plainInstances(); i++) {
@@ -126,19 +128,19 @@
       agent.stop();
     }
     engines.values().forEach(EngineStandin::stop);
-    plains.values().forEach(PlainServiceStandin::stop);
+    plainServices.values().forEach(PlainServiceStandin::stop);
     platform.stop();
     store.stop();
     http.stop();
   }
 
   /**
-   * Submits a service document as its team does.
+   * Submits a service document in the name of the partner's team.
    *
-   * @param plan whose
+   * @param plan the partner
    * @param text the document
-   * @param base the version it is based on
-   * @return the version that is now in force
+   * @param base the version that it is based on; 0 for a new document
+   * @return the accepted version
    */
   public long submit(PartnerPlan plan, String text, long base) {
     DocumentStore documents =
@@ -155,20 +157,21 @@
   }
 
   /**
-   * Returns the text of a partner's model service.
+   * Returns the document of a partner's model service.
    *
    * @param plan the partner
-   * @return a service document
+   * @return the text of the service document
    */
   public String documentText(PartnerPlan plan) {
-    return DocumentTexts.model(plan, engineSettings.slots(), engineSettings.batch(), QUEUE);
+    return DemoDocuments.modelDocument(
+        plan, engineSettings.adapterCapacity(), engineSettings.batchCapacity(), QUEUE_CAPACITY);
   }
 
   /**
-   * Returns a partner's entries, one in each of its zones.
+   * Returns a partner's entries, one per availability zone.
    *
    * @param plan the partner
-   * @return its entries
+   * @return the entries
    */
   public List<EntryDaemon> entries(PartnerPlan plan) {
     return List.copyOf(entries.get(plan));
@@ -177,7 +180,7 @@
   /**
    * Returns the agents.
    *
-   * @return each endpoint's agent
+   * @return the agents by endpoint
    */
   public Map<EndpointId, AgentDaemon> agents() {
     return Map.copyOf(agents);
@@ -186,20 +189,20 @@
   /**
    * Returns the engines.
    *
-   * @return each endpoint's engine
+   * @return the engines by endpoint
    */
   public Map<EndpointId, EngineStandin> engines() {
     return Map.copyOf(engines);
   }
 
   /**
-   * Tells whether every process serves by a version.
+   * Returns whether every process has received a version of a service's document.
    *
    * @param service the service
-   * @param version the version, or any later one
-   * @return whether all entries and agents hold it
+   * @param version the version
+   * @return whether all entries and agents have this version or a later one
    */
-  public boolean inForce(ServiceName service, long version) {
+  public boolean hasVersionEverywhere(ServiceName service, long version) {
     Stream<ProcessServices> processes =
         Stream.concat(
             entries.values().stream().flatMap(List::stream).map(EntryDaemon::services),
@@ -210,35 +213,34 @@
   }
 
   /**
-   * Returns how many requests an engine runs at once.
+   * Returns the batch capacity of the engines.
    *
-   * @return the batch limit
+   * @return the number of requests that an engine can run at once
    */
-  public int batch() {
-    return engineSettings.batch();
+  public int batchCapacity() {
+    return engineSettings.batchCapacity();
   }
 
   /**
    * Returns the plain services.
    *
-   * @return each endpoint's service
+   * @return the services by endpoint
    */
-  public Map<EndpointId, PlainServiceStandin> plains() {
-    return Map.copyOf(plains);
+  public Map<EndpointId, PlainServiceStandin> plainServices() {
+    return Map.copyOf(plainServices);
   }
 
   /**
-   * Returns how often a request with an idempotency key was run beyond its first run, over all
-   * endpoints together.
+   * Returns how often requests with an idempotency key were run more than once, over all endpoints.
    *
-   * @return 0 when nothing was repeated
+   * @return the number of runs beyond the first of each key
    */
   public long repeatedRuns() {
     Map<String, Long> runs = new HashMap<>();
     for (EngineStandin engine : engines.values()) {
       engine.counts().runsByKey().forEach((key, count) -> runs.merge(key, count, Long::sum));
     }
-    for (PlainServiceStandin plain : plains.values()) {
+    for (PlainServiceStandin plain : plainServices.values()) {
       plain.counts().executionsByKey().forEach((key, n) -> runs.merge(key, n, Long::sum));
     }
     return runs.values().stream().mapToLong(count -> count - 1).sum();
@@ -263,7 +265,7 @@
   }
 
   /**
-   * Returns the token of a partner's one caller.
+   * Returns the token of a partner's only caller.
    *
    * @param plan the partner
    * @return a bearer token
@@ -273,7 +275,7 @@
   }
 
   /**
-   * Returns the token of a partner's one operator.
+   * Returns the token of a partner's only operator.
    *
    * @param plan the partner
    * @return a bearer token
@@ -294,12 +296,15 @@
     PlainServiceStandin service = new PlainServiceStandin(plan.plain().value(), LOOPBACK, 0);
     service.start();
     EndpointId endpoint = new EndpointId(plan.plain() + "-" + number);
-    plains.put(endpoint, service);
+    plainServices.put(endpoint, service);
     CapacitySettings capacity = CapacitySettings.of(EndpointKind.PLAIN);
     startAgent(plan.zone(number), endpoint, plan.plain(), service.uri(), capacity);
   }
 
-  /** Every pool here is named after the one service that it runs. */
+  /**
+   * Starts an agent and adds it to the instance list. Its pool is named after the service, as each
+   * pool runs one service here.
+   */
   private void startAgent(
       AvailabilityZone zone,
       EndpointId endpoint,
@@ -315,10 +320,13 @@
             clock);
     agent.start();
     agents.put(endpoint, agent);
-    list(instance.value(), agent.address(), Instance.Role.AGENT, zone, pool);
+    addToInstanceList(instance.value(), agent.address(), Instance.Role.AGENT, zone, pool);
   }
 
-  /** Tells the agent what the engine really does; slots and batch come from the document. */
+  /**
+   * Returns capacity settings that match the engine stand-in. Adapter and batch capacity come from
+   * the service document.
+   */
   private CapacitySettings modelCapacity() {
     CapacitySettings base = CapacitySettings.of(EndpointKind.MODEL);
     return new CapacitySettings(
@@ -326,7 +334,7 @@
         engineSettings.enforceFencing(),
         Optional.empty(),
         Optional.empty(),
-        QUEUE,
+        QUEUE_CAPACITY,
         1_000_000.0 / engineSettings.tokenMicros(),
         LOAD_MILLIS,
         base.minimumStayMillis(),
@@ -346,10 +354,10 @@
     entries.computeIfAbsent(plan, key -> new ArrayList<>()).add(entry);
     InetSocketAddress address = new InetSocketAddress(LOOPBACK, entry.uri().getPort());
     PoolName pool = new PoolName("entries-" + plan.partner());
-    list(instance.value(), address, Instance.Role.ENTRY, zone, pool);
+    addToInstanceList(instance.value(), address, Instance.Role.ENTRY, zone, pool);
   }
 
-  private void list(
+  private void addToInstanceList(
       String id,
       InetSocketAddress address,
       Instance.Role role,
--- a/tool/src/main/java/org/hornbeamusher/demo/PartnerPlan.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/PartnerPlan.java
@@ -8,17 +8,17 @@
 import org.hornbeamusher.ids.TeamId;
 
 /**
- * One partner at its size of today.
+ * Services and sizes of one partner's deployment.
  *
  * @param partner the partner
  * @param team the team that owns its services
  * @param zones its availability zones
  * @param model its model service
- * @param engines how many engines run it
- * @param adapters how many adapters it has
- * @param weights how it trades the two measures
+ * @param engineCount number of engines of the model service
+ * @param adapterCount number of adapters of the model service
+ * @param weights weights of load stall and batch efficiency in the routing cost
  * @param plain its plain service
- * @param plainInstances how many instances run that
+ * @param plainInstances number of endpoints of the plain service
  * @param bookings the path of the plain service's non-repeatable calls
  */
 public record PartnerPlan(
@@ -26,8 +26,8 @@
     TeamId team,
     List<AvailabilityZone> zones,
     ServiceName model,
-    int engines,
-    int adapters,
+    int engineCount,
+    int adapterCount,
     Weights weights,
     ServiceName plain,
     int plainInstances,
@@ -37,7 +37,7 @@
   private static final int PLAIN_INSTANCES = 3;
   private static final int ADAPTERS = 3_000;
 
-  /** Zarqa, whose rosters tolerate seconds and whose batches should be full. */
+  /** Zarqa: roster requests tolerate seconds of latency, and full batches matter most. */
   public static final PartnerPlan ZARQA =
       new PartnerPlan(
           new PartnerId("zarqa"),
@@ -51,7 +51,7 @@
           PLAIN_INSTANCES,
           "/bookings");
 
-  /** Tawhiti, whose valuations cannot wait for a load. */
+  /** Tawhiti: valuation requests must not wait for an adapter load. */
   public static final PartnerPlan TAWHITI =
       new PartnerPlan(
           new PartnerId("tawhiti"),
@@ -69,7 +69,10 @@
     return java.util.Arrays.stream(names).map(AvailabilityZone::new).toList();
   }
 
-  /** Returns the zone of the n-th of something spread over the zones. */
+  /**
+   * Returns the zone of the n-th of several processes that are distributed round-robin over the
+   * zones.
+   */
   AvailabilityZone zone(int n) {
     return zones.get(n % zones.size());
   }
--- a/tool/src/main/java/org/hornbeamusher/demo/package-info.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/package-info.java
@@ -1,2 +1,5 @@
-/** Both partners on loopback: real daemons, stand-ins around them, and a skewed workload. */
+/**
+ * Demo of both partners over loopback: real daemons, stand-ins of the external systems, and a
+ * skewed workload.
+ */
 package org.hornbeamusher.demo;
--- a/tool/src/main/java/org/hornbeamusher/explain/LogLine.java
+++ b/tool/src/main/java/org/hornbeamusher/explain/LogLine.java
@@ -10,12 +10,12 @@
 import java.util.Optional;
 
 /**
- * One event of a process's log.
+ * One event in a process's log.
  *
- * @param source the file it stands in
- * @param millis when it was logged, Unix milliseconds by that process's clock
+ * @param source the file that contains the line
+ * @param millis Unix time in milliseconds by the clock of the process that logged it
  * @param name the event's name
- * @param fields the event's own fields in order
+ * @param fields the event's own fields, in the order of the line
  */
 public record LogLine(String source, long millis, String name, Map<String, String> fields) {
 
@@ -29,11 +29,11 @@
   }
 
   /**
-   * Reads a line. What a collector wrote before the event is skipped.
+   * Parses a line. A prefix written by a log collector is skipped.
    *
-   * @param source the file it stands in
+   * @param source the file that contains the line
    * @param text the line
-   * @return empty when it holds no event
+   * @return the event; empty when the line contains none
    */
   public static Optional<LogLine> parse(String source, String text) {
     int start = text.indexOf('{');
@@ -52,16 +52,16 @@
       long millis = Instant.parse(json.path(TIME).asText()).toEpochMilli();
       return Optional.of(new LogLine(source, millis, json.path(NAME).asText(), fields));
     } catch (JsonProcessingException | DateTimeParseException e) {
-      // A line that was cut, or another program's: it is no event.
+      // A truncated line, or one of another program.
       return Optional.empty();
     }
   }
 
   /**
-   * Returns a field.
+   * Returns the value of a field.
    *
-   * @param name its name
-   * @return its value, empty text when the event has none
+   * @param name the field's name
+   * @return the value; empty when the event has no such field
    */
   public String field(String name) {
     return fields.getOrDefault(name, "");
--- a/tool/src/main/java/org/hornbeamusher/explain/package-info.java
+++ b/tool/src/main/java/org/hornbeamusher/explain/package-info.java
@@ -1,2 +1,2 @@
-/** Puts the log lines of one request in order and names the one that decided how it ended. */
+/** Collects the log lines of one request in order and finds the one that decided how it ended. */
 package org.hornbeamusher.explain;
--- a/tool/src/main/java/org/hornbeamusher/load/LoadReport.java
+++ b/tool/src/main/java/org/hornbeamusher/load/LoadReport.java
@@ -7,21 +7,21 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What callers received in a run. Latencies are in microseconds, of answered requests only, and
- * count from the moment a request was due.
+ * The outcomes of a run as callers see them. Latencies are in microseconds, cover answered requests
+ * only, and are measured from the time a request was due.
  *
- * @param answered requests with the whole right answer
- * @param refused requests not run, by type of failure
- * @param failed requests that ran or may have run and have no whole answer, by type of failure
- * @param wrong requests with an answer that is not theirs
- * @param lost requests without an answer or typed failure
- * @param repeated requests that were run again under their idempotency key
- * @param tokens tokens of all whole answers
- * @param elapsedMicros length of the run
- * @param total time to the whole answer
- * @param firstToken time to the answer's first part
- * @param loadStall time that the system says was spent waiting for a load
- * @param examples some of what was wrong, lost or repeated
+ * @param answered requests with the complete and correct response
+ * @param refused requests not run, by failure type
+ * @param failed requests that ran or may have run and got no complete response, by failure type
+ * @param wrong requests with a response that is not theirs
+ * @param lost requests without a complete response or typed failure
+ * @param repeated requests that ran more than once under their idempotency key
+ * @param tokens tokens of all complete responses
+ * @param elapsedMicros duration of the run
+ * @param total time until the response was complete
+ * @param firstToken time until the first part of the response
+ * @param loadStall time spent waiting for an adapter load, as reported in the response
+ * @param examples descriptions of some wrong, lost and repeated requests
  */
 public record LoadReport(
     int answered,
@@ -49,16 +49,16 @@
   }
 
   /**
-   * Returns how many requests were sent, resent ones not counted.
+   * Returns the number of requests sent, not counting second sends.
    *
-   * @return answered, refused, failed, wrong and lost together
+   * @return the sum of answered, refused, failed, wrong and lost requests
    */
   public int requests() {
     return answered + refusedCount() + failedCount() + wrong + lost;
   }
 
   /**
-   * Returns how many requests were not run.
+   * Returns the number of requests not run.
    *
    * @return the sum over types
    */
@@ -67,7 +67,7 @@
   }
 
   /**
-   * Returns how many requests failed after they ran or may have run.
+   * Returns the number of requests that failed after they ran or may have run.
    *
    * @return the sum over types
    */
@@ -76,18 +76,18 @@
   }
 
   /**
-   * Tells whether nothing happened that must never happen.
+   * Returns whether the system's guarantees held.
    *
-   * @return whether nothing was wrong, lost or repeated
+   * @return whether no request was wrong, lost or repeated
    */
   public boolean clean() {
     return wrong == 0 && lost == 0 && repeated == 0;
   }
 
   /**
-   * Returns the rate of whole answers.
+   * Returns the rate of complete responses.
    *
-   * @return answers a second
+   * @return responses per second
    */
   public double answersPerSecond() {
     return answered * MICROS_PER_SECOND / Math.max(1, elapsedMicros);
@@ -96,7 +96,7 @@
   /**
    * Returns the rate of tokens.
    *
-   * @return tokens of whole answers a second
+   * @return tokens of complete responses per second
    */
   public double tokensPerSecond() {
     return tokens * MICROS_PER_SECOND / Math.max(1, elapsedMicros);
@@ -105,7 +105,7 @@
   /**
    * Prints a summary.
    *
-   * @param out takes it
+   * @param out stream to print to
    */
   public void print(PrintStream out) {
     out.printf(
@@ -138,9 +138,9 @@
   }
 
   /**
-   * Prints every percentile, in HdrHistogram's form, in milliseconds.
+   * Prints the percentile distributions in HdrHistogram's text format, in milliseconds.
    *
-   * @param out takes them
+   * @param out stream to print to
    */
   public void printPercentiles(PrintStream out) {
     out.println("# total");
--- a/tool/src/main/java/org/hornbeamusher/load/LoadRequest.java
+++ b/tool/src/main/java/org/hornbeamusher/load/LoadRequest.java
@@ -7,18 +7,21 @@
 import org.hornbeamusher.http.HttpCall;
 import org.hornbeamusher.ids.AdapterRef;
 
-/** One request of a workload: what is sent, and what its answer must be. */
+/** One request of a workload, with everything that determines its expected response. */
 sealed interface LoadRequest {
 
-  /** Returns the key of a request that must run at most once; empty for a repeatable one. */
-  String onceKey();
+  /**
+   * Returns the idempotency key of a request that must run at most once; empty for a repeatable
+   * one.
+   */
+  String idempotencyKey();
 
-  /** Returns the call that sends it to an entry. */
+  /** Returns the HTTP request that sends it to an entry. */
   HttpCall call(URI entry, LoadSettings settings);
 
-  /** A completion. */
+  /** A completion request to a model service. */
   record Completion(
-      AdapterRef adapter, String prompt, int maxTokens, boolean streamed, String onceKey)
+      AdapterRef adapter, String prompt, int maxTokens, boolean streamed, String idempotencyKey)
       implements LoadRequest {
 
     @Override
@@ -33,21 +36,21 @@
               + ",\"stream\":"
               + streamed
               + "}";
-      return post(entry.resolve("/v1/completions"), json, onceKey, settings);
+      return post(entry.resolve("/v1/completions"), json, idempotencyKey, settings);
     }
   }
 
-  /** A call of a plain service; its body is echoed. */
-  record PlainCall(String service, String path, String body, String onceKey)
+  /** A call of a plain service, which echoes the body. */
+  record PlainCall(String service, String path, String body, String idempotencyKey)
       implements LoadRequest {
 
     @Override
     public HttpCall call(URI entry, LoadSettings settings) {
-      return post(entry.resolve("/services/" + service + path), body, onceKey, settings);
+      return post(entry.resolve("/services/" + service + path), body, idempotencyKey, settings);
     }
   }
 
-  private static HttpCall post(URI uri, String body, String onceKey, LoadSettings settings) {
+  private static HttpCall post(URI uri, String body, String idempotencyKey, LoadSettings settings) {
     Map<String, String> headers = new HashMap<>();
     headers.put("Content-Type", "application/json");
     if (!settings.token().isEmpty()) {
@@ -56,9 +59,9 @@
     if (settings.deadlineMillis() > 0) {
       headers.put("X-Deadline-Ms", Long.toString(settings.deadlineMillis()));
     }
-    if (!onceKey.isEmpty()) {
+    if (!idempotencyKey.isEmpty()) {
       headers.put("X-Repeatable", "false");
-      headers.put("Idempotency-Key", onceKey);
+      headers.put("Idempotency-Key", idempotencyKey);
     }
     return new HttpCall("POST", uri, headers, body.getBytes(StandardCharsets.UTF_8));
   }
--- a/tool/src/main/java/org/hornbeamusher/load/LoadRunner.java
+++ b/tool/src/main/java/org/hornbeamusher/load/LoadRunner.java
@@ -15,35 +15,35 @@
 import org.hornbeamusher.http.HttpStreamListener;
 
 /**
- * Sends a workload and reports what came.
+ * Open-loop load generator: sends a workload and reports the outcomes.
  *
- * <p>Requests are due at a fixed rate whatever the system does, and latencies count from when a
- * request was due: a system that stalls would otherwise also stall the workload, and hide how many
- * callers it kept waiting.
+ * <p>Requests are due at a fixed rate regardless of the system's progress, and latencies are
+ * measured from the time a request was due. Otherwise a system that stalls would also stall the
+ * workload, and the latencies would not show how many callers had to wait (coordinated omission).
  */
 public final class LoadRunner {
 
   private final LoadSettings settings;
   private final HttpClient client;
   private final LoadTally tally = new LoadTally();
-  private final Semaphore room;
+  private final Semaphore inFlightPermits;
 
   /**
    * Creates a run.
    *
-   * @param settings what is sent
-   * @param client sends it; started and stopped by the caller
+   * @param settings the workload
+   * @param client client to send with; started and stopped by the caller
    */
   public LoadRunner(LoadSettings settings, HttpClient client) {
     this.settings = settings;
     this.client = client;
-    this.room = new Semaphore(settings.inFlight());
+    this.inFlightPermits = new Semaphore(settings.maxInFlight());
   }
 
   /**
-   * Sends every request and waits for every answer.
+   * Sends all requests and waits for all responses.
    *
-   * @return what callers received
+   * @return the outcomes as callers see them
    * @throws InterruptedException when interrupted
    */
   public LoadReport run() throws InterruptedException {
@@ -51,21 +51,25 @@
     long begin = Stopwatch.micros();
     for (int i = 0; i < settings.requests(); i++) {
       LoadRequest request = workload.next(i);
-      boolean resent = workload.resent(request);
+      boolean resent = workload.shouldResend(request);
       long due = awaitDue(begin, i);
-      room.acquire();
+      inFlightPermits.acquire();
       if (settings.requestsPerSecond() <= 0) {
         due = Stopwatch.micros();
       }
       URI entry = settings.entries().get(i % settings.entries().size());
       URI next = settings.entries().get((i + 1) % settings.entries().size());
-      send(request, entry, due).thenAccept(verdict -> answered(request, verdict, resent, next));
+      send(request, entry, due)
+          .thenAccept(verdict -> resendOrRelease(request, verdict, resent, next));
     }
-    room.acquire(settings.inFlight());
+    inFlightPermits.acquire(settings.maxInFlight());
     return tally.report(Stopwatch.micros() - begin);
   }
 
-  /** Waits until a request is due; without a rate it is due when there is room for it. */
+  /**
+   * Waits until a request is due. Without a rate a request is due as soon as fewer requests than
+   * the limit are in flight.
+   */
   private long awaitDue(long begin, int number) {
     if (settings.requestsPerSecond() <= 0) {
       return 0;
@@ -79,34 +83,37 @@
     return due;
   }
 
-  /** Sends the request again if it is drawn for that, at another entry, or makes room. */
-  private void answered(LoadRequest request, Verdict first, boolean resent, URI entry) {
+  /**
+   * Sends an answered request again to another entry if it was drawn for that, and releases its
+   * permit at the end.
+   */
+  private void resendOrRelease(LoadRequest request, Verdict first, boolean resent, URI entry) {
     if (!resent || !(first instanceof Verdict.Answered)) {
-      room.release();
+      inFlightPermits.release();
       return;
     }
     Exchange again = new Exchange(request, Stopwatch.micros());
-    again.begin(entry);
-    again.outcome.thenAccept(
+    again.send(entry);
+    again.result.thenAccept(
         end -> {
-          tally.addResent(end.verdict(), end.replayed());
-          room.release();
+          tally.addSecondSend(end.verdict(), end.replayed());
+          inFlightPermits.release();
         });
   }
 
   private CompletableFuture<Verdict> send(LoadRequest request, URI entry, long due) {
     Exchange exchange = new Exchange(request, due);
-    exchange.begin(entry);
-    return exchange.outcome.thenApply(
+    exchange.send(entry);
+    return exchange.result.thenApply(
         end -> {
           tally.add(end.verdict(), end.timing());
           return end.verdict();
         });
   }
 
-  private record Ending(Verdict verdict, LoadTally.Timing timing, boolean replayed) {}
+  private record ExchangeResult(Verdict verdict, LoadTally.Latencies timing, boolean replayed) {}
 
-  /** One exchange: collects what comes, judges it, and gives up after the timeout. */
+  /** One HTTP exchange: collects the response and checks it, or gives up after the timeout. */
   private final class Exchange implements HttpStreamListener {
 
     private static final String LOAD_STALL = "x-load-stall-ms";
@@ -116,7 +123,7 @@
     private final long due;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private final AtomicBoolean ended = new AtomicBoolean();
-    final CompletableFuture<Ending> outcome = new CompletableFuture<>();
+    final CompletableFuture<ExchangeResult> result = new CompletableFuture<>();
     private int status;
     private long firstMicros = -1;
     private long stallMillis;
@@ -127,9 +134,9 @@
       this.due = due;
     }
 
-    void begin(URI entry) {
+    void send(URI entry) {
       HttpStream stream = client.stream(request.call(entry, settings), this);
-      outcome
+      result
           .copy()
           .orTimeout(settings.timeoutMillis(), TimeUnit.MILLISECONDS)
           .exceptionally(
@@ -157,19 +164,19 @@
 
     @Override
     public void end() {
-      finish(AnswerCheck.check(request, status, text()));
+      finish(ResponseChecker.check(request, status, text()));
     }
 
-    /** A cut answer may still end in a typed error; without one it is lost. */
+    /** A truncated response may end with a typed error; without one it counts as lost. */
     @Override
     public void failed(Throwable failure) {
       if (status == 0) {
         finish(new Verdict.Lost("no answer: " + failure.getMessage()));
         return;
       }
-      Verdict verdict = AnswerCheck.check(request, status, text());
-      boolean whole = verdict instanceof Verdict.Answered || verdict instanceof Verdict.Wrong;
-      finish(whole ? new Verdict.Lost("cut: " + failure.getMessage()) : verdict);
+      Verdict verdict = ResponseChecker.check(request, status, text());
+      boolean complete = verdict instanceof Verdict.Answered || verdict instanceof Verdict.Wrong;
+      finish(complete ? new Verdict.Lost("cut: " + failure.getMessage()) : verdict);
     }
 
     private String text() {
@@ -180,9 +187,9 @@
       if (ended.compareAndSet(false, true)) {
         long now = Stopwatch.micros();
         long first = firstMicros < 0 ? now : firstMicros;
-        outcome.complete(
-            new Ending(
-                verdict, new LoadTally.Timing(now - due, first - due, stallMillis), replayed));
+        result.complete(
+            new ExchangeResult(
+                verdict, new LoadTally.Latencies(now - due, first - due, stallMillis), replayed));
       }
     }
   }
--- a/tool/src/main/java/org/hornbeamusher/load/LoadSettings.java
+++ b/tool/src/main/java/org/hornbeamusher/load/LoadSettings.java
@@ -4,35 +4,37 @@
 import java.util.List;
 
 /**
- * One run of a workload.
+ * Settings of one run of a workload.
  *
- * @param entries where requests go, in turn
- * @param token the caller's bearer token; empty sends none
- * @param requests how many requests are sent, resent ones not counted
- * @param requestsPerSecond rate at which they are due; 0 sends the next as soon as there is room
- * @param inFlight most requests without an answer; a request that is due waits for room
- * @param timeoutMillis when a request without an answer counts as lost
- * @param deadlineMillis the deadline a request names; 0 names none
- * @param onceShare part of the requests that must run at most once, 0 to 1
- * @param resendShare part of those that is sent a second time under the same key, 0 to 1
- * @param seed draws the workload
- * @param traffic what is asked for
+ * @param entries the entries to send to, in turn
+ * @param token the caller's bearer token; empty for none
+ * @param requests number of requests, not counting second sends
+ * @param requestsPerSecond rate at which requests are due; 0 sends each as soon as the limit of
+ *     requests in flight allows it
+ * @param maxInFlight maximum number of requests in flight; beyond it, a request that is due waits
+ * @param timeoutMillis time after which a request without a response counts as lost
+ * @param deadlineMillis the deadline that requests state; 0 for none
+ * @param nonRepeatableShare fraction of the requests that are non-repeatable (must run at most
+ *     once), 0 to 1
+ * @param resendShare fraction of those that are sent a second time under the same key, 0 to 1
+ * @param seed seed of the random workload
+ * @param traffic the kind of requests
  */
 public record LoadSettings(
     List<URI> entries,
     String token,
     int requests,
     double requestsPerSecond,
-    int inFlight,
+    int maxInFlight,
     long timeoutMillis,
     long deadlineMillis,
-    double onceShare,
+    double nonRepeatableShare,
     double resendShare,
     long seed,
     Traffic traffic) {
 
-  private static final int IN_FLIGHT = 256;
-  private static final long TIMEOUT_MILLIS = 60_000;
+  private static final int DEFAULT_MAX_IN_FLIGHT = 256;
+  private static final long DEFAULT_TIMEOUT_MILLIS = 60_000;
 
   /** Copies the list. */
   public LoadSettings {
@@ -42,12 +44,12 @@
   /**
    * Returns a run of repeatable requests.
    *
-   * @param entries where requests go, in turn
-   * @param token the caller's bearer token
-   * @param requests how many
-   * @param requestsPerSecond their rate
-   * @param traffic what is asked for
-   * @return settings with 256 requests in flight at most, each lost after a minute
+   * @param entries the entries to send to, in turn
+   * @param token the caller's bearer token; empty for none
+   * @param requests number of requests
+   * @param requestsPerSecond rate at which requests are due
+   * @param traffic the kind of requests
+   * @return settings with at most 256 requests in flight and a timeout of one minute
    */
   public static LoadSettings of(
       List<URI> entries, String token, int requests, double requestsPerSecond, Traffic traffic) {
@@ -56,8 +58,8 @@
         token,
         requests,
         requestsPerSecond,
-        IN_FLIGHT,
-        TIMEOUT_MILLIS,
+        DEFAULT_MAX_IN_FLIGHT,
+        DEFAULT_TIMEOUT_MILLIS,
         0,
         0,
         0,
@@ -66,9 +68,9 @@
   }
 
   /**
-   * Returns this run with a deadline.
+   * Returns these settings with a deadline.
    *
-   * @param millis what every request names; 0 names none
+   * @param millis the deadline that requests state; 0 for none
    * @return a copy
    */
   public LoadSettings withDeadline(long millis) {
@@ -77,29 +79,29 @@
         token,
         requests,
         requestsPerSecond,
-        inFlight,
+        maxInFlight,
         timeoutMillis,
         millis,
-        onceShare,
+        nonRepeatableShare,
         resendShare,
         seed,
         traffic);
   }
 
   /**
-   * Returns this run with requests that must run at most once.
+   * Returns these settings with non-repeatable requests.
    *
-   * @param share part of the requests
-   * @param resent part of those that is sent a second time
+   * @param share fraction of the requests that are non-repeatable
+   * @param resent fraction of those that are sent a second time
    * @return a copy
    */
-  public LoadSettings withOnce(double share, double resent) {
+  public LoadSettings withNonRepeatable(double share, double resent) {
     return new LoadSettings(
         entries,
         token,
         requests,
         requestsPerSecond,
-        inFlight,
+        maxInFlight,
         timeoutMillis,
         deadlineMillis,
         share,
@@ -109,21 +111,21 @@
   }
 
   /**
-   * Returns this run with another bound.
+   * Returns these settings with another limit of requests in flight.
    *
-   * @param most requests without an answer
+   * @param maximum maximum number of requests in flight
    * @return a copy
    */
-  public LoadSettings withInFlight(int most) {
+  public LoadSettings withInFlight(int maximum) {
     return new LoadSettings(
         entries,
         token,
         requests,
         requestsPerSecond,
-        most,
+        maximum,
         timeoutMillis,
         deadlineMillis,
-        onceShare,
+        nonRepeatableShare,
         resendShare,
         seed,
         traffic);
--- a/tool/src/main/java/org/hornbeamusher/load/LoadTally.java
+++ b/tool/src/main/java/org/hornbeamusher/load/LoadTally.java
@@ -6,15 +6,15 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** Adds up verdicts and latencies of a run. */
+/** Accumulates the verdicts and latencies of a run. Thread-safe. */
 final class LoadTally {
 
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
   private static final int MAX_EXAMPLES = 5;
 
-  private final Histogram total = new Histogram(DIGITS);
-  private final Histogram firstToken = new Histogram(DIGITS);
-  private final Histogram loadStall = new Histogram(DIGITS);
+  private final Histogram total = new Histogram(SIGNIFICANT_DIGITS);
+  private final Histogram firstToken = new Histogram(SIGNIFICANT_DIGITS);
+  private final Histogram loadStall = new Histogram(SIGNIFICANT_DIGITS);
   private final Map<String, Integer> refused = new TreeMap<>();
   private final Map<String, Integer> failed = new TreeMap<>();
   private final List<String> examples = new ArrayList<>();
@@ -24,12 +24,12 @@
   private int repeated;
   private long tokens;
 
-  /** Adds a request that was sent for the first time. */
-  synchronized void add(Verdict verdict, Timing timing) {
+  /** Adds the outcome of a request's first send. */
+  synchronized void add(Verdict verdict, Latencies timing) {
     switch (verdict) {
-      case Verdict.Answered whole -> {
+      case Verdict.Answered complete -> {
         answered++;
-        tokens += whole.tokens();
+        tokens += complete.tokens();
         total.recordValue(Math.max(0, timing.totalMicros()));
         firstToken.recordValue(Math.max(0, timing.firstMicros()));
         loadStall.recordValue(Math.max(0, timing.stallMillis() * 1_000));
@@ -38,22 +38,22 @@
       case Verdict.Failed failure -> failed.merge(failure.type(), 1, Integer::sum);
       case Verdict.Wrong bad -> {
         wrong++;
-        example("wrong: " + bad.why());
+        example("wrong: " + bad.reason());
       }
-      case Verdict.Lost gone -> {
+      case Verdict.Lost loss -> {
         lost++;
-        example("lost: " + gone.why());
+        example("lost: " + loss.reason());
       }
     }
   }
 
   /**
-   * Adds the second answer to a key whose first one was whole: unless it is the first one replayed,
-   * the request ran again.
+   * Adds the outcome of a second send under a key whose first send was answered. A response that is
+   * not a replay of the first one means that the request ran twice.
    */
-  synchronized void addResent(Verdict verdict, boolean replayed) {
-    boolean answer = verdict instanceof Verdict.Answered || verdict instanceof Verdict.Wrong;
-    if (answer && !replayed) {
+  synchronized void addSecondSend(Verdict verdict, boolean replayed) {
+    boolean hasResponse = verdict instanceof Verdict.Answered || verdict instanceof Verdict.Wrong;
+    if (hasResponse && !replayed) {
       repeated++;
       example("repeated: a key that had been answered was run again");
     }
@@ -81,6 +81,6 @@
     }
   }
 
-  /** When things happened in one request. */
-  record Timing(long totalMicros, long firstMicros, long stallMillis) {}
+  /** The latencies of one request. */
+  record Latencies(long totalMicros, long firstMicros, long stallMillis) {}
 }
--- a/tool/src/main/java/org/hornbeamusher/load/AnswerCheck.java
+++ b/tool/src/main/java/org/hornbeamusher/load/ResponseChecker.java
@@ -3,16 +3,17 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
-import org.hornbeamusher.standin.ExpectedAnswer;
+import org.hornbeamusher.standin.ExpectedResponse;
 
 /**
- * Judges what came for a request.
+ * Checks a response against its request.
  *
- * <p>A completion's text is compared with what the adapter it names must answer to its prompt; so a
- * wrong adapter, another request's answer, and tokens that are missing, doubled or out of order are
- * all found. A streamed answer counts as whole only with its closing {@code [DONE]}.
+ * <p>The text of a completion is compared with the text that the requested adapter generates for
+ * the prompt. That finds a wrong adapter, a response to another request, and tokens that are
+ * missing, duplicated or out of order. A streamed response is complete only with the final {@code
+ * [DONE]}.
  */
-final class AnswerCheck {
+final class ResponseChecker {
 
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final String DONE = "data: [DONE]\n\n";
@@ -20,40 +21,43 @@
   private static final String MODEL = "\"model\":\"";
   private static final String ERROR = "data: {\"error\":";
 
-  private AnswerCheck() {}
+  private ResponseChecker() {}
 
   static Verdict check(LoadRequest request, int status, String body) {
     if (status < 200 || status > 299) {
       return failure(body);
     }
     return switch (request) {
-      case LoadRequest.Completion completion -> completion(completion, body);
-      case LoadRequest.PlainCall call -> plain(call, body);
+      case LoadRequest.Completion completion -> checkCompletion(completion, body);
+      case LoadRequest.PlainCall call -> checkPlain(call, body);
     };
   }
 
-  private static Verdict completion(LoadRequest.Completion request, String body) {
+  private static Verdict checkCompletion(LoadRequest.Completion request, String body) {
     if (request.streamed() && !body.endsWith(DONE)) {
       int error = body.lastIndexOf(ERROR);
       return error >= 0
           ? failure(body.substring(error + "data: ".length()))
           : new Verdict.Lost("the stream ends without [DONE]");
     }
-    ExpectedAnswer expected =
-        new ExpectedAnswer(request.adapter(), request.prompt(), request.maxTokens());
+    ExpectedResponse expected =
+        new ExpectedResponse(request.adapter(), request.prompt(), request.maxTokens());
     String adapter = request.adapter().toString();
-    String text = allText(body);
+    String text = concatenatedText(body);
     if (!text.equals(expected.text())) {
       return new Verdict.Wrong("expected " + expected.text() + " and got " + text);
     }
-    if (!everyModelIs(adapter, body)) {
+    if (!allModelsAre(adapter, body)) {
       return new Verdict.Wrong("the answer names another adapter than " + adapter);
     }
-    return new Verdict.Answered(expected.tokens());
+    return new Verdict.Answered(expected.tokenCount());
   }
 
-  /** Joins the texts of all events; the stand-in's texts hold nothing that JSON escapes. */
-  private static String allText(String body) {
+  /**
+   * Concatenates the texts of all events. The stand-in's texts contain no characters that JSON
+   * escapes.
+   */
+  private static String concatenatedText(String body) {
     StringBuilder text = new StringBuilder();
     int at = body.indexOf(TEXT);
     while (at >= 0) {
@@ -64,7 +68,7 @@
     return text.toString();
   }
 
-  private static boolean everyModelIs(String adapter, String body) {
+  private static boolean allModelsAre(String adapter, String body) {
     int at = body.indexOf(MODEL);
     boolean found = at >= 0;
     while (at >= 0) {
@@ -76,14 +80,14 @@
     return found;
   }
 
-  private static Verdict plain(LoadRequest.PlainCall request, String body) {
+  private static Verdict checkPlain(LoadRequest.PlainCall request, String body) {
     JsonNode echo = parse(body);
-    boolean own =
+    boolean matches =
         echo.path("service").asText().equals(request.service())
             && echo.path("path").asText().equals(request.path())
-            && echo.path("key").asText().equals(request.onceKey())
+            && echo.path("key").asText().equals(request.idempotencyKey())
             && echo.path("body").asText().equals(request.body());
-    return own
+    return matches
         ? new Verdict.Answered(0)
         : new Verdict.Wrong("the echo is of another call: " + body);
   }
--- a/tool/src/main/java/org/hornbeamusher/load/Stopwatch.java
+++ b/tool/src/main/java/org/hornbeamusher/load/Stopwatch.java
@@ -3,10 +3,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Microseconds for measurements.
+ * Monotonic time in microseconds for latency measurements.
  *
- * <p>The project's clock counts milliseconds, which is coarser than the latency that is measured
- * here. No decision depends on this one.
+ * <p>The project's clock has a resolution of milliseconds, which is too coarse for the latencies
+ * measured here. Use this for measurements only, never for decisions.
  */
 public final class Stopwatch {
 
@@ -15,7 +15,7 @@
   /**
    * Returns a point in time.
    *
-   * @return microseconds since any fixed moment
+   * @return microseconds since an arbitrary fixed origin
    */
   public static long micros() {
     return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
--- a/tool/src/main/java/org/hornbeamusher/load/Traffic.java
+++ b/tool/src/main/java/org/hornbeamusher/load/Traffic.java
@@ -4,23 +4,23 @@
 import org.hornbeamusher.ids.AdapterRef;
 import org.hornbeamusher.ids.ServiceName;
 
-/** What a workload asks for. */
+/** The kind of requests of a workload. */
 public sealed interface Traffic {
 
   /**
    * Completions over adapters whose popularity is skewed.
    *
    * @param adapters the adapters, the most popular first
-   * @param skew exponent of Zipf's law; 0 asks for all alike
-   * @param coldShare part of the requests that ask for any adapter alike, 0 to 1
-   * @param streamedShare part of the requests that are streamed, 0 to 1
-   * @param promptChars length of a prompt
-   * @param maxTokens length of an answer
+   * @param skew exponent of the Zipf distribution; 0 is the uniform distribution
+   * @param uniformShare fraction of the requests whose adapter is drawn uniformly, 0 to 1
+   * @param streamedShare fraction of the requests that are streamed, 0 to 1
+   * @param promptChars length of a prompt in characters
+   * @param maxTokens maximum number of tokens of a response
    */
   record Model(
       List<AdapterRef> adapters,
       double skew,
-      double coldShare,
+      double uniformShare,
       double streamedShare,
       int promptChars,
       int maxTokens)
@@ -36,7 +36,7 @@
    * Calls of a plain service, each with an idempotency key.
    *
    * @param service the service
-   * @param path what is posted to, below the service's prefix
+   * @param path path of the POST requests, without the service's prefix
    */
   record Plain(ServiceName service, String path) implements Traffic {}
 }
--- a/tool/src/main/java/org/hornbeamusher/load/Verdict.java
+++ b/tool/src/main/java/org/hornbeamusher/load/Verdict.java
@@ -1,40 +1,40 @@
 package org.hornbeamusher.load;
 
-/** What a caller got for one request. */
+/** The outcome of one request as its caller sees it. */
 sealed interface Verdict {
 
   /**
-   * The whole answer to its own request.
+   * The complete and correct response.
    *
-   * @param tokens its length
+   * @param tokens number of tokens of the response
    */
   record Answered(int tokens) implements Verdict {}
 
   /**
-   * A failure with a type and the promise that the request was not run.
+   * A failure that states a type and that the request was not run.
    *
-   * @param type the type's name
+   * @param type the name of the failure type
    */
   record Refused(String type) implements Verdict {}
 
   /**
-   * A failure with a type, of a request that ran or may have run.
+   * A failure that states a type, of a request that ran or may have run.
    *
-   * @param type the type's name
+   * @param type the name of the failure type
    */
   record Failed(String type) implements Verdict {}
 
   /**
-   * An answer that looks whole and is not the right one.
+   * A response that looks complete but is not the correct one.
    *
-   * @param why what differs
+   * @param reason what differs
    */
-  record Wrong(String why) implements Verdict {}
+  record Wrong(String reason) implements Verdict {}
 
   /**
-   * Nothing a caller could rely on: no answer, a cut one, an untyped error.
+   * Nothing that a caller can rely on: no response, a truncated one, or an error without a type.
    *
-   * @param why what is missing
+   * @param reason what is missing
    */
-  record Lost(String why) implements Verdict {}
+  record Lost(String reason) implements Verdict {}
 }
--- a/tool/src/main/java/org/hornbeamusher/load/Workload.java
+++ b/tool/src/main/java/org/hornbeamusher/load/Workload.java
@@ -5,25 +5,28 @@
 import org.hornbeamusher.clock.SystemClock;
 import org.hornbeamusher.ids.TimeOrderedUuid;
 
-/** Draws the requests of a workload; the same settings draw the same requests. */
+/**
+ * Draws the requests of a workload. The same settings give the same requests, except for the
+ * idempotency keys.
+ */
 final class Workload {
 
   private static final char FILLER = 'x';
 
   private final LoadSettings settings;
-  private final RandomGenerator keys;
+  private final RandomGenerator keyRandom;
   private final SplittableRandom random;
   private ZipfSampler sampler;
 
   /**
    * Creates a workload.
    *
-   * @param settings what is drawn
-   * @param keys draws idempotency keys, which must differ from those of other runs
+   * @param settings the workload, including its seed
+   * @param keyRandom source of randomness for idempotency keys, which must differ between runs
    */
-  Workload(LoadSettings settings, RandomGenerator keys) {
+  Workload(LoadSettings settings, RandomGenerator keyRandom) {
     this.settings = settings;
-    this.keys = keys;
+    this.keyRandom = keyRandom;
     this.random = new SplittableRandom(settings.seed());
     if (settings.traffic() instanceof Traffic.Model model) {
       this.sampler = new ZipfSampler(model.adapters().size(), model.skew());
@@ -31,28 +34,29 @@
   }
 
   LoadRequest next(int number) {
-    boolean once = random.nextDouble() < settings.onceShare();
+    boolean nonRepeatable = random.nextDouble() < settings.nonRepeatableShare();
     return switch (settings.traffic()) {
-      case Traffic.Model model -> completion(model, number, once ? key() : "");
+      case Traffic.Model model -> completion(model, number, nonRepeatable ? newKey() : "");
       case Traffic.Plain plain ->
-          new LoadRequest.PlainCall(plain.service().value(), plain.path(), "load " + number, key());
+          new LoadRequest.PlainCall(
+              plain.service().value(), plain.path(), "load " + number, newKey());
     };
   }
 
-  boolean resent(LoadRequest request) {
-    return !request.onceKey().isEmpty() && random.nextDouble() < settings.resendShare();
+  boolean shouldResend(LoadRequest request) {
+    return !request.idempotencyKey().isEmpty() && random.nextDouble() < settings.resendShare();
   }
 
-  private LoadRequest completion(Traffic.Model model, int number, String onceKey) {
-    boolean cold = random.nextDouble() < model.coldShare();
-    int rank = cold ? random.nextInt(model.adapters().size()) : sampler.next(random);
+  private LoadRequest completion(Traffic.Model model, int number, String idempotencyKey) {
+    boolean uniform = random.nextDouble() < model.uniformShare();
+    int rank = uniform ? random.nextInt(model.adapters().size()) : sampler.next(random);
     boolean streamed = random.nextDouble() < model.streamedShare();
     return new LoadRequest.Completion(
         model.adapters().get(rank),
         prompt(number, model.promptChars()),
         model.maxTokens(),
         streamed,
-        onceKey);
+        idempotencyKey);
   }
 
   private static String prompt(int number, int chars) {
@@ -61,7 +65,7 @@
     return start + String.valueOf(FILLER).repeat(filler);
   }
 
-  private String key() {
-    return TimeOrderedUuid.of(SystemClock.INSTANCE.millis(), keys).toString();
+  private String newKey() {
+    return TimeOrderedUuid.of(SystemClock.INSTANCE.millis(), keyRandom).toString();
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/load/ZipfSampler.java
+++ b/tool/src/main/java/org/hornbeamusher/load/ZipfSampler.java
@@ -3,7 +3,10 @@
 import java.util.Arrays;
 import java.util.random.RandomGenerator;
 
-/** Draws ranks so that rank k (from 1) is drawn in proportion to 1 / k^skew. */
+/**
+ * Samples indices with a Zipf distribution: rank k (from 1) has a probability proportional to 1 /
+ * k^skew.
+ */
 final class ZipfSampler {
 
   private final double[] cumulative;
@@ -17,7 +20,7 @@
     }
   }
 
-  /** Returns an index, from 0. */
+  /** Returns an index from 0, which is rank - 1. */
   int next(RandomGenerator random) {
     double point = random.nextDouble() * cumulative[cumulative.length - 1];
     int found = Arrays.binarySearch(cumulative, point);
--- a/tool/src/main/java/org/hornbeamusher/load/package-info.java
+++ b/tool/src/main/java/org/hornbeamusher/load/package-info.java
@@ -1,2 +1,5 @@
-/** Sends a skewed workload to entries, checks every answer and measures what callers see. */
+/**
+ * Load generator: sends a skewed workload to entries, checks every response and measures latencies
+ * as callers see them.
+ */
 package org.hornbeamusher.load;
--- a/tool/src/main/java/org/hornbeamusher/standin/CacheEvents.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/CacheEvents.java
@@ -5,35 +5,35 @@
 import java.util.List;
 import org.hornbeamusher.ids.AdapterRef;
 
-/** Cache events as an engine publishes them: late, and with some missing for good. */
+/** Cache events as an engine publishes them: after a delay, and with every n-th one dropped. */
 final class CacheEvents {
 
-  private static final int KEPT = 2_000;
+  private static final int MAX_EVENTS = 2_000;
 
   private final long delayMillis;
-  private final int gap;
-  private final Deque<CacheEvent> kept = new ArrayDeque<>();
+  private final int dropInterval;
+  private final Deque<CacheEvent> recent = new ArrayDeque<>();
   private long lastSequence;
 
-  CacheEvents(long delayMillis, int gap) {
+  CacheEvents(long delayMillis, int dropInterval) {
     this.delayMillis = delayMillis;
-    this.gap = gap;
+    this.dropInterval = dropInterval;
   }
 
   void record(String type, AdapterRef adapter, long block, long now) {
     lastSequence++;
-    if (gap > 0 && lastSequence % gap == 0) {
+    if (dropInterval > 0 && lastSequence % dropInterval == 0) {
       return;
     }
     String name = Long.toHexString(block);
-    kept.add(new CacheEvent(lastSequence, type, adapter.toString(), name, now));
-    if (kept.size() > KEPT) {
-      kept.remove();
+    recent.add(new CacheEvent(lastSequence, type, adapter.toString(), name, now));
+    if (recent.size() > MAX_EVENTS) {
+      recent.remove();
     }
   }
 
   List<CacheEvent> after(long sequence, long now) {
-    return kept.stream()
+    return recent.stream()
         .filter(event -> event.sequence() > sequence && event.atMillis() + delayMillis <= now)
         .toList();
   }
@@ -41,11 +41,11 @@
   /**
    * One event; also its JSON form.
    *
-   * @param sequence rises by one with every event, published or not
+   * @param sequence increases by one with every event, including the dropped ones
    * @param type {@code stored} or {@code removed}
-   * @param adapter whose prompt it was
+   * @param adapter the adapter that the prompt was processed for
    * @param block the block's hash
-   * @param atMillis when it happened
+   * @param atMillis when the block was stored or removed
    */
   record CacheEvent(long sequence, String type, String adapter, String block, long atMillis) {}
 }
--- a/tool/src/main/java/org/hornbeamusher/standin/EngineCore.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/EngineCore.java
@@ -13,32 +13,34 @@
 import org.hornbeamusher.ids.AdapterRef;
 
 /**
- * The engine itself: slots, batch and orders. It has no network, and one thread uses it.
+ * Simulates an engine without its network interface: adapter slots, continuous batching and orders.
+ * Not thread-safe.
  *
- * <p>A step reads prompts, the highest priority first, as far as the step's budget goes, and then
- * generates one token for every request whose prompt has been read.
+ * <p>A step first processes (prefills) prompts, the highest priority first, up to the step's token
+ * budget. It then generates one token for every request whose prompt has been processed completely.
  */
 final class EngineCore {
 
-  private static final int KEPT_REQUESTS = 1_000;
+  private static final int MAX_RESUMABLE_REQUESTS = 1_000;
 
   private final EngineSettings settings;
   private final Set<AdapterRef> resident = new LinkedHashSet<>();
-  private final Map<AdapterRef, CompletableFuture<EngineReply>> loading = new LinkedHashMap<>();
+  private final Map<AdapterRef, CompletableFuture<EngineResult>> pendingLoads =
+      new LinkedHashMap<>();
   private final List<RunningRequest> batch = new ArrayList<>();
-  private final Map<String, RunningRequest> kept =
+  private final Map<String, RunningRequest> resumable =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, RunningRequest> eldest) {
-          return size() > KEPT_REQUESTS;
+          return size() > MAX_RESUMABLE_REQUESTS;
         }
       };
   private final Map<String, Long> runs = new HashMap<>();
   private final Map<String, Long> runsByKey = new HashMap<>();
   private final PrefixCache prefixes;
-  private long fencing;
+  private long highestFencing;
   private String role = "both";
   private int failNextLoads;
   private int cutNextAfter = -1;
@@ -58,39 +60,39 @@
     this.prefixes = prefixes;
   }
 
-  /** Admits a request to the batch. */
-  EngineReply start(RunningRequest request, String prompt, String idempotencyKey, long now) {
+  /** Adds a request to the batch, or returns why it is refused. */
+  EngineResult start(RunningRequest request, String prompt, String idempotencyKey, long now) {
     if (!resident.contains(request.adapter)) {
       notResident++;
-      return EngineReply.NOT_RESIDENT;
+      return EngineResult.NOT_RESIDENT;
     }
-    if (batch.size() >= settings.batch()) {
-      return EngineReply.BATCH_FULL;
+    if (batch.size() >= settings.batchCapacity()) {
+      return EngineResult.BATCH_FULL;
     }
     runs.merge(request.adapter.toString(), 1L, Long::sum);
     if (!idempotencyKey.isEmpty()) {
       runsByKey.merge(idempotencyKey, 1L, Long::sum);
     }
-    request.cutAfter = cutNextAfter;
+    request.abortAfterTokens = cutNextAfter;
     cutNextAfter = -1;
-    request.prefillLeft -= prefixes.read(request.adapter, prompt, now);
+    request.pendingPromptTokens -= prefixes.lookUpAndStore(request.adapter, prompt, now);
     batch.add(request);
-    return EngineReply.DONE;
+    return EngineResult.DONE;
   }
 
-  /** Runs one step; returns whether a request crashed the engine. */
+  /** Runs one step and returns whether a request in the batch crashes the engine. */
   boolean step() {
     if (batch.isEmpty()) {
       return false;
     }
-    if (batch.stream().anyMatch(request -> request.crashes)) {
+    if (batch.stream().anyMatch(request -> request.crashesEngine)) {
       return true;
     }
     steps++;
     batchSum += batch.size();
     prefill();
     for (RunningRequest request : List.copyOf(batch)) {
-      if (request.prefillLeft <= 0) {
+      if (request.pendingPromptTokens <= 0) {
         generate(request);
       }
     }
@@ -99,45 +101,47 @@
 
   private void prefill() {
     int budget = settings.prefillTokensPerStep();
-    List<RunningRequest> reading =
+    List<RunningRequest> unprocessed =
         batch.stream()
-            .filter(request -> request.prefillLeft > 0)
+            .filter(request -> request.pendingPromptTokens > 0)
             .sorted(Comparator.comparingInt((RunningRequest request) -> -request.priority))
             .toList();
-    for (RunningRequest request : reading) {
-      int read = Math.min(budget, request.prefillLeft);
-      request.prefillLeft -= read;
-      budget -= read;
+    for (RunningRequest request : unprocessed) {
+      int processed = Math.min(budget, request.pendingPromptTokens);
+      request.pendingPromptTokens -= processed;
+      budget -= processed;
     }
   }
 
   private void generate(RunningRequest request) {
-    int before = request.generated;
+    int before = request.generatedTokens;
     request.step();
-    tokens += request.generated - before;
-    if (request.complete()) {
+    tokens += request.generatedTokens - before;
+    if (request.isComplete()) {
       batch.remove(request);
-    } else if (request.generated == request.cutAfter) {
-      request.sink.cut();
-      lost(request);
+    } else if (request.generatedTokens == request.abortAfterTokens) {
+      request.sink.abort();
+      connectionLost(request);
     }
   }
 
-  /** Takes a request whose connection is gone out of the batch; it may be resumed. */
-  void lost(RunningRequest request) {
+  /** Removes a request whose connection was closed from the batch; it may be resumed later. */
+  void connectionLost(RunningRequest request) {
     if (batch.remove(request)) {
-      kept.put(request.id, request);
+      resumable.put(request.id, request);
     }
   }
 
-  /** Like {@link #lost(RunningRequest)} for every request in the batch of that name. */
-  void lost(String id) {
-    List.copyOf(batch).stream().filter(request -> request.id.equals(id)).forEach(this::lost);
+  /** Like {@link #connectionLost(RunningRequest)} for every request in the batch with that id. */
+  void connectionLost(String id) {
+    List.copyOf(batch).stream()
+        .filter(request -> request.id.equals(id))
+        .forEach(this::connectionLost);
   }
 
-  /** Ends a request for good. */
+  /** Cancels a request; it cannot be resumed. */
   void cancel(String id) {
-    kept.remove(id);
+    resumable.remove(id);
     for (RunningRequest request : List.copyOf(batch)) {
       if (request.id.equals(id)) {
         batch.remove(request);
@@ -147,76 +151,91 @@
     }
   }
 
-  /** Finds what a lost request was answering, so that the rest can be framed like the start. */
-  AdapterRef keptAdapter(String id) {
-    RunningRequest request = kept.get(id);
+  /**
+   * Returns the adapter of a request that can be resumed, or null. The rest of the response names
+   * the same adapter as its beginning.
+   */
+  AdapterRef resumableAdapter(String id) {
+    RunningRequest request = resumable.get(id);
     return request == null ? null : request.adapter;
   }
 
-  /** Goes on with a lost request; the tokens it had generated are sent again from an index. */
-  EngineReply resume(String id, int from, AnswerSink sink) {
-    RunningRequest request = kept.get(id);
-    if (request == null || from > request.generated || !resident.contains(request.adapter)) {
-      return EngineReply.NOT_KEPT;
+  /**
+   * Resumes a request whose connection was closed. The tokens generated before are sent again,
+   * starting at the given index.
+   */
+  EngineResult resume(String id, int from, ResponseSink sink) {
+    RunningRequest request = resumable.get(id);
+    if (request == null || from > request.generatedTokens || !resident.contains(request.adapter)) {
+      return EngineResult.NOT_RESUMABLE;
     }
-    if (batch.size() >= settings.batch()) {
-      return EngineReply.BATCH_FULL;
+    if (batch.size() >= settings.batchCapacity()) {
+      return EngineResult.BATCH_FULL;
     }
-    kept.remove(id);
+    resumable.remove(id);
     request.sink = sink;
-    request.cutAfter = -1;
-    for (int i = from; i < request.generated; i++) {
-      sink.token(i, request.answer.token(i));
+    request.abortAfterTokens = -1;
+    for (int i = from; i < request.generatedTokens; i++) {
+      sink.token(i, request.expected.token(i));
     }
     batch.add(request);
-    return EngineReply.DONE;
+    return EngineResult.DONE;
   }
 
-  /** Checks an order's fencing number. */
-  boolean stale(long number) {
-    if (settings.enforceFencing() && number < fencing) {
+  /**
+   * Returns whether an order must be refused because of a stale fencing number, and otherwise
+   * records the number if it is the highest.
+   */
+  boolean checkStale(long number) {
+    if (settings.enforceFencing() && number < highestFencing) {
       staleOrders++;
       return true;
     }
-    fencing = Math.max(fencing, number);
+    highestFencing = Math.max(highestFencing, number);
     return false;
   }
 
-  /** Begins a load; null when the weights must be fetched, and then {@link #loadEnded} follows. */
-  EngineReply beginLoad(AdapterRef adapter, CompletableFuture<EngineReply> reply) {
+  /**
+   * Begins a load. Returns null when the weights must be fetched; the caller then calls {@link
+   * #loadEnded}.
+   */
+  EngineResult beginLoad(AdapterRef adapter, CompletableFuture<EngineResult> result) {
     if (resident.contains(adapter)) {
-      return EngineReply.DONE;
+      return EngineResult.DONE;
     }
-    if (resident.size() + loading.size() >= settings.slots()) {
-      return EngineReply.NO_FREE_SLOT;
+    if (resident.size() + pendingLoads.size() >= settings.adapterCapacity()) {
+      return EngineResult.NO_FREE_SLOT;
     }
-    loading.put(adapter, reply);
+    pendingLoads.put(adapter, result);
     return null;
   }
 
-  /** Returns the load under way of an adapter, or null. */
-  CompletableFuture<EngineReply> loading(AdapterRef adapter) {
-    return loading.get(adapter);
+  /** Returns the result of an adapter's load in progress, or null. */
+  CompletableFuture<EngineResult> pendingLoad(AdapterRef adapter) {
+    return pendingLoads.get(adapter);
   }
 
-  /** Ends a load; one that began before a restart is no longer known and has no effect. */
-  void loadEnded(AdapterRef adapter, CompletableFuture<EngineReply> reply, boolean arrived) {
-    if (loading.get(adapter) != reply) {
+  /** Ends a load. A load that began before a restart is ignored. */
+  void loadEnded(AdapterRef adapter, CompletableFuture<EngineResult> result, boolean fetched) {
+    if (pendingLoads.get(adapter) != result) {
       return;
     }
-    loading.remove(adapter);
-    if (arrived && failNextLoads == 0) {
+    pendingLoads.remove(adapter);
+    if (fetched && failNextLoads == 0) {
       resident.add(adapter);
       loads++;
-      reply.complete(EngineReply.DONE);
+      result.complete(EngineResult.DONE);
       return;
     }
     failNextLoads = Math.max(0, failNextLoads - 1);
     loadFailures++;
-    reply.complete(EngineReply.LOAD_FAILED);
+    result.complete(EngineResult.LOAD_FAILED);
   }
 
-  /** Empties a slot; requests that the adapter was serving fail, and are counted. */
+  /**
+   * Frees an adapter's slot. Requests that run with the adapter fail; the unload is then counted as
+   * one of an adapter in use.
+   */
   void unload(AdapterRef adapter) {
     resident.remove(adapter);
     List<RunningRequest> served =
@@ -230,28 +249,28 @@
     }
   }
 
-  void role(String newRole) {
+  void setRole(String newRole) {
     role = newRole;
   }
 
-  /** Fills slots without loading. */
-  void hold(Collection<AdapterRef> adapters) {
-    adapters.stream().limit(settings.slots() - resident.size()).forEach(resident::add);
+  /** Makes adapters resident without loading them, as far as slots are free. */
+  void makeResident(Collection<AdapterRef> adapters) {
+    adapters.stream().limit(settings.adapterCapacity() - resident.size()).forEach(resident::add);
   }
 
-  /** Loses everything, as a new process does; open answers are cut. */
+  /** Discards all state, as a new process does. The connections of running requests are closed. */
   void restart() {
     restarts++;
     final List<RunningRequest> open = List.copyOf(batch);
     batch.clear();
-    kept.clear();
+    resumable.clear();
     resident.clear();
     prefixes.clear();
-    final List<CompletableFuture<EngineReply>> loads = List.copyOf(loading.values());
-    loading.clear();
-    fencing = 0;
-    open.forEach(request -> request.sink.cut());
-    loads.forEach(reply -> reply.complete(EngineReply.RESTARTED));
+    final List<CompletableFuture<EngineResult>> loads = List.copyOf(pendingLoads.values());
+    pendingLoads.clear();
+    highestFencing = 0;
+    open.forEach(request -> request.sink.abort());
+    loads.forEach(result -> result.complete(EngineResult.RESTARTED));
   }
 
   void failNextLoads(int count) {
@@ -262,11 +281,11 @@
     cutNextAfter = generatedTokens;
   }
 
-  boolean idle() {
+  boolean isIdle() {
     return batch.isEmpty();
   }
 
-  /** Time of a step, which grows mildly with the batch. */
+  /** Returns the duration of a step, which grows linearly with the batch size. */
   long stepMicros() {
     return Math.round(
         settings.tokenMicros() * (1 + settings.batchSlowdown() * Math.max(0, batch.size() - 1)));
@@ -274,7 +293,7 @@
 
   EngineState state(String incarnation) {
     List<String> names = resident.stream().map(AdapterRef::toString).toList();
-    return new EngineState(incarnation, names, batch.size(), fencing, role);
+    return new EngineState(incarnation, names, batch.size(), highestFencing, role);
   }
 
   EngineCounts counts() {
--- a/tool/src/main/java/org/hornbeamusher/standin/EngineCounts.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/EngineCounts.java
@@ -3,20 +3,21 @@
 import java.util.Map;
 
 /**
- * What an engine stand-in counted since it was created; restarts do not reset it.
+ * Counters of an engine stand-in since it was created; restarts do not reset them. Also their JSON
+ * form.
  *
- * @param runs requests started, by adapter as written
+ * @param runs requests started, by adapter in its text form
  * @param runsByKey requests started, by idempotency key (requests that carry one)
  * @param unloadsInUse unload orders for an adapter that was serving a request
  * @param notResident requests refused because their adapter was not resident
- * @param loads loads that ended well
+ * @param loads loads that succeeded
  * @param loadFailures loads that failed
- * @param staleOrders orders refused for their fencing number
+ * @param staleOrders orders refused because of a stale fencing number
  * @param tokens tokens generated
  * @param steps steps with at least one request in the batch
- * @param batchSum requests in the batch, summed over those steps
+ * @param batchSum batch sizes summed over those steps
  * @param restarts crashes and restarts
- * @param cancels requests ended by their caller
+ * @param cancels requests cancelled by their caller
  */
 public record EngineCounts(
     Map<String, Long> runs,
@@ -39,7 +40,7 @@
   }
 
   /**
-   * Returns how often a request with an idempotency key was run again.
+   * Returns how often requests with an idempotency key were run more than once.
    *
    * @return runs beyond the first, summed over keys
    */
--- a/tool/src/main/java/org/hornbeamusher/standin/EngineHttp.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/EngineHttp.java
@@ -25,34 +25,36 @@
 
   @Override
   public void handleRequest(HttpServerExchange exchange) {
-    if (engine.away() && !exchange.getRequestPath().startsWith("/standin/")) {
-      Replies.cut(exchange);
+    if (engine.isUnreachable() && !exchange.getRequestPath().startsWith("/standin/")) {
+      HttpExchanges.closeConnection(exchange);
       return;
     }
     switch (exchange.getRequestMethod() + " " + exchange.getRequestPath()) {
       case "POST /v1/completions" ->
-          Replies.readJson(exchange, Completion.class, body -> complete(exchange, body));
+          HttpExchanges.readJson(exchange, Completion.class, body -> complete(exchange, body));
       case "POST /v1/cancel" ->
-          Replies.readJson(exchange, RequestName.class, body -> cancel(exchange, body));
+          HttpExchanges.readJson(exchange, RequestReference.class, body -> cancel(exchange, body));
       case "POST /v1/resume" ->
-          Replies.readJson(exchange, RequestName.class, body -> resume(exchange, body));
+          HttpExchanges.readJson(exchange, RequestReference.class, body -> resume(exchange, body));
       case "POST /orders/load" ->
-          Replies.readJson(exchange, Order.class, body -> load(exchange, body));
+          HttpExchanges.readJson(exchange, Order.class, body -> load(exchange, body));
       case "POST /orders/unload" ->
-          Replies.readJson(exchange, Order.class, body -> unload(exchange, body));
+          HttpExchanges.readJson(exchange, Order.class, body -> unload(exchange, body));
       case "POST /orders/role" ->
-          Replies.readJson(exchange, Order.class, body -> role(exchange, body));
-      case "GET /state" -> later(exchange, () -> Replies.json(exchange, 200, engine.state()));
-      case "GET /load" -> later(exchange, () -> Replies.json(exchange, 200, engine.lastReport()));
-      case "GET /events" -> later(exchange, () -> events(exchange));
-      case "GET /standin/counts" -> Replies.json(exchange, 200, engine.counts());
+          HttpExchanges.readJson(exchange, Order.class, body -> role(exchange, body));
+      case "GET /state" ->
+          runOnEngine(exchange, () -> HttpExchanges.json(exchange, 200, engine.state()));
+      case "GET /load" ->
+          runOnEngine(exchange, () -> HttpExchanges.json(exchange, 200, engine.currentReport()));
+      case "GET /events" -> runOnEngine(exchange, () -> events(exchange));
+      case "GET /standin/counts" -> HttpExchanges.json(exchange, 200, engine.counts());
       case "POST /standin/behaviour" ->
-          Replies.readJson(exchange, Behaviour.class, body -> behave(exchange, body));
-      default -> Replies.error(exchange, 404, "unknown-path");
+          HttpExchanges.readJson(exchange, Behaviour.class, body -> applyBehaviour(exchange, body));
+      default -> HttpExchanges.error(exchange, 404, "unknown-path");
     }
   }
 
-  private void later(HttpServerExchange exchange, Runnable task) {
+  private void runOnEngine(HttpServerExchange exchange, Runnable task) {
     exchange.dispatch(SameThreadExecutor.INSTANCE, () -> engine.execute(task));
   }
 
@@ -62,7 +64,7 @@
       return;
     }
     if (body.prompt() == null || body.maxTokens() < 1 || body.maxTokens() > MAX_TOKENS) {
-      Replies.error(exchange, 400, "malformed-request");
+      HttpExchanges.error(exchange, 400, "malformed-request");
       return;
     }
     String id = header(exchange, REQUEST_ID);
@@ -76,27 +78,29 @@
         new RunningRequest(id, adapter, body.prompt(), body.maxTokens(), body.priority(), null);
     request.sink =
         body.stream()
-            ? new StreamedAnswer(exchange, id, adapter.toString(), () -> engine.lost(request))
-            : new WholeAnswer(exchange, id, adapter.toString());
-    answerUnlessDone(exchange, engine.begin(request, body.prompt(), key));
+            ? new StreamedResponse(
+                exchange, id, adapter.toString(), () -> engine.connectionLost(request))
+            : new CompleteResponse(exchange, id, adapter.toString());
+    sendUnlessSuccess(exchange, engine.startRequest(request, body.prompt(), key));
   }
 
-  private void cancel(HttpServerExchange exchange, RequestName body) {
+  private void cancel(HttpServerExchange exchange, RequestReference body) {
     engine.execute(
         () -> {
           engine.core().cancel(body.requestId());
-          Replies.json(exchange, 200, engine.state());
+          HttpExchanges.json(exchange, 200, engine.state());
         });
   }
 
-  private void resume(HttpServerExchange exchange, RequestName body) {
+  private void resume(HttpServerExchange exchange, RequestReference body) {
     engine.execute(
         () -> {
-          AdapterRef adapter = engine.core().keptAdapter(body.requestId());
+          AdapterRef adapter = engine.core().resumableAdapter(body.requestId());
           String id = body.requestId();
-          StreamedAnswer sink =
-              new StreamedAnswer(exchange, id, String.valueOf(adapter), () -> engine.lost(id));
-          answerUnlessDone(exchange, engine.resume(id, body.from(), sink));
+          StreamedResponse sink =
+              new StreamedResponse(
+                  exchange, id, String.valueOf(adapter), () -> engine.connectionLost(id));
+          sendUnlessSuccess(exchange, engine.resume(id, body.from(), sink));
         });
   }
 
@@ -108,7 +112,7 @@
                     () ->
                         engine
                             .load(adapter, order.weights(), order.fencing())
-                            .thenAccept(reply -> answerOrder(exchange, reply))));
+                            .thenAccept(result -> sendResult(exchange, result))));
   }
 
   private void unload(HttpServerExchange exchange, Order order) {
@@ -116,11 +120,11 @@
         .ifPresent(
             adapter ->
                 engine.execute(
-                    () -> answerOrder(exchange, engine.unload(adapter, order.fencing()))));
+                    () -> sendResult(exchange, engine.unload(adapter, order.fencing()))));
   }
 
   private void role(HttpServerExchange exchange, Order order) {
-    engine.execute(() -> answerOrder(exchange, engine.role(order.role(), order.fencing())));
+    engine.execute(() -> sendResult(exchange, engine.setRole(order.role(), order.fencing())));
   }
 
   private void events(HttpServerExchange exchange) {
@@ -129,13 +133,13 @@
     try {
       after = values == null ? 0 : Long.parseLong(values.getFirst());
     } catch (NumberFormatException e) {
-      Replies.error(exchange, 400, "malformed-request");
+      HttpExchanges.error(exchange, 400, "malformed-request");
       return;
     }
-    Replies.json(exchange, 200, new Events(engine.eventsAfter(after)));
+    HttpExchanges.json(exchange, 200, new Events(engine.eventsAfter(after)));
   }
 
-  private void behave(HttpServerExchange exchange, Behaviour behaviour) {
+  private void applyBehaviour(HttpServerExchange exchange, Behaviour behaviour) {
     if (behaviour.frozen() != null) {
       engine.freeze(behaviour.frozen());
     }
@@ -146,20 +150,20 @@
     if (behaviour.restart()) {
       engine.restart();
     }
-    Replies.json(exchange, 200, behaviour);
+    HttpExchanges.json(exchange, 200, behaviour);
   }
 
-  private static void answerOrder(HttpServerExchange exchange, EngineReply reply) {
-    if (reply.done()) {
-      Replies.json(exchange, 200, new Done(true));
+  private static void sendResult(HttpServerExchange exchange, EngineResult result) {
+    if (result.isSuccess()) {
+      HttpExchanges.json(exchange, 200, new Done(true));
     } else {
-      Replies.error(exchange, reply.status(), reply.type());
+      HttpExchanges.error(exchange, result.status(), result.type());
     }
   }
 
-  private static void answerUnlessDone(HttpServerExchange exchange, EngineReply reply) {
-    if (!reply.done()) {
-      Replies.error(exchange, reply.status(), reply.type());
+  private static void sendUnlessSuccess(HttpServerExchange exchange, EngineResult result) {
+    if (!result.isSuccess()) {
+      HttpExchanges.error(exchange, result.status(), result.type());
     }
   }
 
@@ -167,7 +171,7 @@
     try {
       return Optional.of(AdapterRef.parse(name == null ? "" : name));
     } catch (InvalidIdentifierException e) {
-      Replies.error(exchange, 400, "malformed-adapter");
+      HttpExchanges.error(exchange, 400, "malformed-adapter");
       return Optional.empty();
     }
   }
@@ -184,7 +188,7 @@
       boolean stream,
       int priority) {}
 
-  record RequestName(@JsonProperty("request_id") String requestId, int from) {}
+  record RequestReference(@JsonProperty("request_id") String requestId, int from) {}
 
   record Order(String adapter, String weights, String role, long fencing) {}
 
--- a/tool/src/main/java/org/hornbeamusher/standin/EngineSettings.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/EngineSettings.java
@@ -1,27 +1,28 @@
 package org.hornbeamusher.standin;
 
 /**
- * Figures of one engine stand-in.
+ * Settings of one engine stand-in.
  *
  * @param host address it listens on
  * @param port port it listens on; 0 for any free one
- * @param slots adapters it holds at once
- * @param batch requests it runs at once
- * @param tokenMicros microseconds between two tokens of a request that runs alone
- * @param batchSlowdown how much one more request in the batch lengthens that time, as a fraction
- * @param prefillTokensPerStep prompt tokens it reads in one step, over the whole batch
- * @param cacheBlocks prompt blocks its prefix cache holds
- * @param enforceFencing whether it refuses an order with an old fencing number
- * @param restartMillis how long it is away when it restarts
- * @param reportLagMillis age of what {@code /load} reports
- * @param eventDelayMillis how late a cache event is published
- * @param eventGap every event of this count is never published; 0 publishes all
+ * @param adapterCapacity number of adapters that can be resident at once
+ * @param batchCapacity number of requests that can run at once
+ * @param tokenMicros microseconds per token of a request that runs alone
+ * @param batchSlowdown fraction of {@code tokenMicros} that each further request in the batch adds
+ * @param prefillTokensPerStep prompt tokens processed per step, over the whole batch
+ * @param cacheBlocks capacity of the prefix cache in blocks
+ * @param enforceFencing whether orders with a stale fencing number are refused
+ * @param restartMillis how long the engine is unreachable during a restart
+ * @param reportLagMillis interval after which the state that {@code /load} returns is replaced; the
+ *     returned state is between one and two intervals old
+ * @param eventDelayMillis delay until a cache event is published
+ * @param eventDropInterval every n-th cache event is dropped; 0 drops none
  */
 public record EngineSettings(
     String host,
     int port,
-    int slots,
-    int batch,
+    int adapterCapacity,
+    int batchCapacity,
     long tokenMicros,
     double batchSlowdown,
     int prefillTokensPerStep,
@@ -30,33 +31,45 @@
     long restartMillis,
     long reportLagMillis,
     long eventDelayMillis,
-    int eventGap) {
+    int eventDropInterval) {
 
   /**
-   * Returns the figures of the demo's engines.
+   * Returns the default settings, which the demo uses.
    *
    * @param port port to listen on; 0 for any free one
-   * @param slots adapters held at once
-   * @param batch requests run at once
-   * @return settings with 5 ms between tokens and fencing enforced
+   * @param adapterCapacity number of adapters that can be resident at once
+   * @param batchCapacity number of requests that can run at once
+   * @return settings with 5 ms per token and fencing enforced
    */
-  public static EngineSettings of(int port, int slots, int batch) {
+  public static EngineSettings of(int port, int adapterCapacity, int batchCapacity) {
     return new EngineSettings(
-        "127.0.0.1", port, slots, batch, 5_000, 0.02, 2_048, 1_024, true, 1_000, 500, 300, 7);
+        "127.0.0.1",
+        port,
+        adapterCapacity,
+        batchCapacity,
+        5_000,
+        0.02,
+        2_048,
+        1_024,
+        true,
+        1_000,
+        500,
+        300,
+        7);
   }
 
   /**
-   * Returns these figures with another speed.
+   * Returns these settings with another token time.
    *
-   * @param micros microseconds between two tokens
+   * @param micros microseconds per token
    * @return a copy
    */
   public EngineSettings withTokenMicros(long micros) {
     return new EngineSettings(
         host,
         port,
-        slots,
-        batch,
+        adapterCapacity,
+        batchCapacity,
         micros,
         batchSlowdown,
         prefillTokensPerStep,
@@ -65,21 +78,21 @@
         restartMillis,
         reportLagMillis,
         eventDelayMillis,
-        eventGap);
+        eventDropInterval);
   }
 
   /**
-   * Returns these figures for an engine that does or does not look at fencing numbers.
+   * Returns these settings with the check of fencing numbers switched on or off.
    *
-   * @param enforced whether old numbers are refused
+   * @param enforced whether stale fencing numbers are refused
    * @return a copy
    */
   public EngineSettings withFencing(boolean enforced) {
     return new EngineSettings(
         host,
         port,
-        slots,
-        batch,
+        adapterCapacity,
+        batchCapacity,
         tokenMicros,
         batchSlowdown,
         prefillTokensPerStep,
@@ -88,6 +101,6 @@
         restartMillis,
         reportLagMillis,
         eventDelayMillis,
-        eventGap);
+        eventDropInterval);
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/standin/EngineStandin.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/EngineStandin.java
@@ -13,11 +13,11 @@
 import org.hornbeamusher.ids.AdapterRef;
 
 /**
- * One engine over HTTP.
+ * Stand-in of an engine with its HTTP interface.
  *
- * <p>One thread runs everything the engine does: it steps the batch and carries out orders in turn.
- * Frozen, it takes connections and does nothing, as a process that is paused; restarting, it closes
- * every connection, as a process that is gone.
+ * <p>A single thread steps the batch and executes orders one after the other. A frozen engine
+ * accepts connections but processes nothing, like a paused process. An engine that restarts closes
+ * every connection, like a process that has ended.
  */
 public final class EngineStandin {
 
@@ -31,53 +31,55 @@
       Executors.newSingleThreadScheduledExecutor(
           Thread.ofPlatform().daemon().name("engine").factory());
 
-  /** Confined to the loop: what arrived while frozen; null when not frozen. */
-  private ArrayDeque<Runnable> held;
+  /** Tasks that arrived while the engine is frozen; null when it is not. Confined to the loop. */
+  private ArrayDeque<Runnable> deferredTasks;
 
-  /** Confined to the loop: whether a step is due. */
-  private boolean stepping;
+  /** Whether a step is scheduled. Confined to the loop. */
+  private boolean stepScheduled;
 
-  /** Confined to the loop: the report that is shown now and the one that follows it. */
-  private EngineState shownReport;
+  /**
+   * The state that {@code /load} returns now, and the one that replaces it. Confined to the loop.
+   */
+  private EngineState currentReport;
 
   private EngineState nextReport;
 
   private volatile String incarnation = newIncarnation();
-  private volatile boolean away;
+  private volatile boolean unreachable;
 
   /**
-   * Creates an engine that holds nothing.
+   * Creates an engine without resident adapters.
    *
-   * @param settings its figures
-   * @param store where it loads weights from
-   * @param clock tells the time
+   * @param settings the engine's settings
+   * @param store the store that weights are loaded from
+   * @param clock source of the time of cache events
    */
   public EngineStandin(EngineSettings settings, WeightStoreStandin store, Clock clock) {
     this.settings = settings;
     this.store = store;
     this.clock = clock;
-    this.events = new CacheEvents(settings.eventDelayMillis(), settings.eventGap());
+    this.events = new CacheEvents(settings.eventDelayMillis(), settings.eventDropInterval());
     this.core = new EngineCore(settings, new PrefixCache(settings.cacheBlocks(), events));
     this.server = new StandinServer(settings.host(), settings.port(), new EngineHttp(this));
-    this.shownReport = core.state(incarnation);
-    this.nextReport = shownReport;
+    this.currentReport = core.state(incarnation);
+    this.nextReport = currentReport;
   }
 
-  /** Starts to listen. */
+  /** Starts listening. */
   public void start() {
     server.start();
     long lag = Math.max(1, settings.reportLagMillis());
-    loop.scheduleAtFixedRate(this::report, lag, lag, TimeUnit.MILLISECONDS);
+    loop.scheduleAtFixedRate(this::updateReport, lag, lag, TimeUnit.MILLISECONDS);
   }
 
-  /** Stops; open answers are cut. */
+  /** Stops; open responses are aborted. */
   public void stop() {
     server.stop();
     loop.shutdownNow();
   }
 
   /**
-   * Returns where it listens; known once started.
+   * Returns the engine's address; known once it is started.
    *
    * @return for example {@code http://127.0.0.1:41001}
    */
@@ -85,17 +87,20 @@
     return server.uri();
   }
 
-  /** Crashes the engine: it loses everything, is away for a while and has a new incarnation. */
+  /**
+   * Crashes the engine: it loses all state, is unreachable for {@code restartMillis} and then has a
+   * new incarnation.
+   */
   public void restart() {
-    away = true;
+    unreachable = true;
     loop.execute(
         () -> {
-          held = null;
+          deferredTasks = null;
           core.restart();
           incarnation = newIncarnation();
           loop.schedule(
               () -> {
-                away = false;
+                unreachable = false;
               },
               settings.restartMillis(),
               TimeUnit.MILLISECONDS);
@@ -103,70 +108,72 @@
   }
 
   /**
-   * Freezes or wakes the engine.
+   * Freezes or unfreezes the engine. Tasks that arrived while it was frozen run when it is
+   * unfrozen.
    *
-   * @param frozen whether it stands still
+   * @param frozen whether the engine stops processing
    */
   public void freeze(boolean frozen) {
     loop.execute(
         () -> {
-          if (frozen && held == null) {
-            held = new ArrayDeque<>();
-          } else if (!frozen && held != null) {
-            ArrayDeque<Runnable> late = held;
-            held = null;
-            late.forEach(Runnable::run);
+          if (frozen && deferredTasks == null) {
+            deferredTasks = new ArrayDeque<>();
+          } else if (!frozen && deferredTasks != null) {
+            ArrayDeque<Runnable> deferred = deferredTasks;
+            deferredTasks = null;
+            deferred.forEach(Runnable::run);
             scheduleStep();
           }
         });
   }
 
   /**
-   * Lets loads fail.
+   * Makes the next loads fail.
    *
-   * @param count how many of the next loads fail
+   * @param count number of loads that fail
    */
   public void failNextLoads(int count) {
     loop.execute(() -> core.failNextLoads(count));
   }
 
   /**
-   * Lets the engine hold adapters, as one does that has run for a while. Nothing is fetched.
+   * Makes adapters resident without fetching their weights, as in an engine that has run for a
+   * while.
    *
-   * @param adapters at most as many as it has slots
+   * @param adapters the adapters; those beyond the engine's slots are ignored
    */
-  public void hold(Collection<AdapterRef> adapters) {
-    loop.execute(() -> core.hold(adapters));
+  public void makeResident(Collection<AdapterRef> adapters) {
+    loop.execute(() -> core.makeResident(adapters));
   }
 
   /**
-   * Cuts the connection of the next request that starts; the engine keeps it for a resume.
+   * Closes the connection of the next request that starts; the request can be resumed.
    *
-   * @param tokens after how many tokens
+   * @param tokens number of generated tokens after which the connection is closed
    */
   public void cutNextAfter(int tokens) {
     loop.execute(() -> core.cutNextAfter(tokens));
   }
 
   /**
-   * Returns what was counted.
+   * Returns the counters.
    *
-   * @return the counts so far
+   * @return the current counts
    */
   public EngineCounts counts() {
     return CompletableFuture.supplyAsync(core::counts, loop).join();
   }
 
-  boolean away() {
-    return away;
+  boolean isUnreachable() {
+    return unreachable;
   }
 
-  /** Runs a task of the engine in its turn. */
+  /** Runs a task on the engine's thread, or later if the engine is frozen. */
   void execute(Runnable task) {
     loop.execute(
         () -> {
-          if (held != null) {
-            held.add(task);
+          if (deferredTasks != null) {
+            deferredTasks.add(task);
           } else {
             task.run();
           }
@@ -181,81 +188,81 @@
     return core.state(incarnation);
   }
 
-  EngineState lastReport() {
-    return shownReport;
+  EngineState currentReport() {
+    return currentReport;
   }
 
   List<CacheEvents.CacheEvent> eventsAfter(long sequence) {
     return events.after(sequence, clock.millis());
   }
 
-  EngineReply begin(RunningRequest request, String prompt, String idempotencyKey) {
-    EngineReply reply = core.start(request, prompt, idempotencyKey, clock.millis());
+  EngineResult startRequest(RunningRequest request, String prompt, String idempotencyKey) {
+    EngineResult result = core.start(request, prompt, idempotencyKey, clock.millis());
     scheduleStep();
-    return reply;
+    return result;
   }
 
-  EngineReply resume(String id, int from, AnswerSink sink) {
-    EngineReply reply = core.resume(id, from, sink);
+  EngineResult resume(String id, int from, ResponseSink sink) {
+    EngineResult result = core.resume(id, from, sink);
     scheduleStep();
-    return reply;
+    return result;
   }
 
-  /** Takes the news, from any thread, that a request's connection is gone. */
-  void lost(RunningRequest request) {
-    execute(() -> core.lost(request));
+  /** Called by any thread when a request's connection was closed. */
+  void connectionLost(RunningRequest request) {
+    execute(() -> core.connectionLost(request));
   }
 
-  void lost(String id) {
-    execute(() -> core.lost(id));
+  void connectionLost(String id) {
+    execute(() -> core.connectionLost(id));
   }
 
-  CompletableFuture<EngineReply> load(AdapterRef adapter, String weights, long fencing) {
-    if (core.stale(fencing)) {
-      return CompletableFuture.completedFuture(EngineReply.STALE);
+  CompletableFuture<EngineResult> load(AdapterRef adapter, String weights, long fencing) {
+    if (core.checkStale(fencing)) {
+      return CompletableFuture.completedFuture(EngineResult.STALE);
     }
-    CompletableFuture<EngineReply> underWay = core.loading(adapter);
-    if (underWay != null) {
-      return underWay;
+    CompletableFuture<EngineResult> pending = core.pendingLoad(adapter);
+    if (pending != null) {
+      return pending;
     }
-    CompletableFuture<EngineReply> reply = new CompletableFuture<>();
-    EngineReply immediate = core.beginLoad(adapter, reply);
+    CompletableFuture<EngineResult> result = new CompletableFuture<>();
+    EngineResult immediate = core.beginLoad(adapter, result);
     if (immediate != null) {
       return CompletableFuture.completedFuture(immediate);
     }
     store
         .fetch(weights == null ? adapter.toString() : weights)
         .whenComplete(
-            (arrived, failure) -> execute(() -> core.loadEnded(adapter, reply, failure == null)));
-    return reply;
+            (fetched, failure) -> execute(() -> core.loadEnded(adapter, result, failure == null)));
+    return result;
   }
 
-  EngineReply unload(AdapterRef adapter, long fencing) {
-    if (core.stale(fencing)) {
-      return EngineReply.STALE;
+  EngineResult unload(AdapterRef adapter, long fencing) {
+    if (core.checkStale(fencing)) {
+      return EngineResult.STALE;
     }
     core.unload(adapter);
-    return EngineReply.DONE;
+    return EngineResult.DONE;
   }
 
-  EngineReply role(String role, long fencing) {
-    if (core.stale(fencing)) {
-      return EngineReply.STALE;
+  EngineResult setRole(String role, long fencing) {
+    if (core.checkStale(fencing)) {
+      return EngineResult.STALE;
     }
-    core.role(role);
-    return EngineReply.DONE;
+    core.setRole(role);
+    return EngineResult.DONE;
   }
 
   private void scheduleStep() {
-    if (!stepping && !core.idle()) {
-      stepping = true;
+    if (!stepScheduled && !core.isIdle()) {
+      stepScheduled = true;
       loop.schedule(this::step, core.stepMicros(), TimeUnit.MICROSECONDS);
     }
   }
 
   private void step() {
-    stepping = false;
-    if (held != null) {
+    stepScheduled = false;
+    if (deferredTasks != null) {
       return;
     }
     if (core.step()) {
@@ -265,9 +272,9 @@
     scheduleStep();
   }
 
-  private void report() {
-    if (held == null) {
-      shownReport = nextReport;
+  private void updateReport() {
+    if (deferredTasks == null) {
+      currentReport = nextReport;
       nextReport = core.state(incarnation);
     }
   }
--- a/tool/src/main/java/org/hornbeamusher/standin/EventStream.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/EventStream.java
@@ -9,36 +9,36 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Server-sent events on one exchange.
+ * Writes server-sent events to one exchange.
  *
- * <p>Events that come while an earlier write is under way are gathered and written together.
+ * <p>Events that arrive during a write are buffered and written together afterwards.
  */
 final class EventStream {
 
   private final HttpServerExchange exchange;
-  private final Runnable gone;
+  private final Runnable onConnectionLost;
 
-  /** Guarded by this object: events not yet handed to the connection. */
+  /** Events not yet passed to the connection. Guarded by this object. */
   private StringBuilder pending = new StringBuilder();
 
-  /** Guarded by this object: a write is under way or about to be. */
+  /** Whether a write is in progress or scheduled. Guarded by this object. */
   private boolean writing;
 
-  /** Guarded by this object: nothing follows what is pending. */
+  /** Whether no event follows the pending ones. Guarded by this object. */
   private boolean ended;
 
-  EventStream(HttpServerExchange exchange, Runnable gone) {
+  EventStream(HttpServerExchange exchange, Runnable onConnectionLost) {
     this.exchange = exchange;
-    this.gone = gone;
+    this.onConnectionLost = onConnectionLost;
   }
 
-  /** Appends the payload of one event. */
+  /** Appends an event with the given payload. */
   synchronized void event(String json) {
     pending.append("data: ").append(json).append("\n\n");
     schedule();
   }
 
-  /** Ends the stream after what was appended. */
+  /** Ends the response after the pending events. */
   synchronized void end() {
     ended = true;
     schedule();
@@ -67,10 +67,10 @@
       exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "text/event-stream");
     }
     ByteBuffer bytes = ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
-    exchange.getResponseSender().send(bytes, last ? new Last() : new Next());
+    exchange.getResponseSender().send(bytes, last ? new EndCallback() : new ContinueCallback());
   }
 
-  private final class Next implements IoCallback {
+  private final class ContinueCallback implements IoCallback {
     @Override
     public void onComplete(HttpServerExchange done, Sender sender) {
       write();
@@ -79,11 +79,11 @@
     @Override
     public void onException(HttpServerExchange failed, Sender sender, IOException exception) {
       IoCallback.END_EXCHANGE.onException(failed, sender, exception);
-      gone.run();
+      onConnectionLost.run();
     }
   }
 
-  private final class Last implements IoCallback {
+  private final class EndCallback implements IoCallback {
     @Override
     public void onComplete(HttpServerExchange done, Sender sender) {
       done.endExchange();
--- a/tool/src/main/java/org/hornbeamusher/standin/Replies.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/HttpExchanges.java
@@ -14,17 +14,17 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 import org.xnio.IoUtils;
 
-/** Reading of requests and writing of JSON answers, common to all stand-ins. */
-final class Replies {
+/** Reads request bodies and writes JSON responses for all stand-ins. */
+final class HttpExchanges {
 
   private static final ObjectMapper JSON =
       new ObjectMapper()
           .setPropertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
           .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
-  private Replies() {}
+  private HttpExchanges() {}
 
-  /** Reads a whole body and hands it on; the exchange stays open until it is answered. */
+  /** Reads the complete body and passes it on. The exchange stays open until a response is sent. */
   static void readBody(HttpServerExchange exchange, Consumer<byte[]> next) {
     exchange
         .getRequestReceiver()
@@ -33,7 +33,10 @@
                 received.dispatch(SameThreadExecutor.INSTANCE, () -> next.accept(body)));
   }
 
-  /** Reads a JSON body; answers 400 itself when it has another form. */
+  /**
+   * Reads a JSON body and passes it on, or responds with status 400 when it does not have the
+   * expected form.
+   */
   static <T> void readJson(HttpServerExchange exchange, Class<T> form, Consumer<T> next) {
     readBody(
         exchange,
@@ -49,18 +52,18 @@
         });
   }
 
-  /** Answers with a value as JSON; may be called by any thread once the exchange is dispatched. */
+  /** Responds with a value as JSON. Any thread may call this once the exchange is dispatched. */
   static void json(HttpServerExchange exchange, int status, Object value) {
     bytes(exchange, status, "application/json", encode(value));
   }
 
-  /** Answers {@code {"error":{"type":"..."}}}. */
+  /** Responds with {@code {"error":{"type":"..."}}}. */
   static void error(HttpServerExchange exchange, int status, String type) {
     json(exchange, status, new ErrorBody(new ErrorType(type)));
   }
 
   static void bytes(HttpServerExchange exchange, int status, String contentType, byte[] body) {
-    onIoThread(
+    runOnIoThread(
         exchange,
         () -> {
           exchange.setStatusCode(status);
@@ -69,13 +72,13 @@
         });
   }
 
-  /** Closes the connection in the middle of whatever it was doing. */
-  static void cut(HttpServerExchange exchange) {
-    onIoThread(exchange, () -> IoUtils.safeClose(exchange.getConnection()));
+  /** Closes the connection without completing the response. */
+  static void closeConnection(HttpServerExchange exchange) {
+    runOnIoThread(exchange, () -> IoUtils.safeClose(exchange.getConnection()));
   }
 
-  /** Runs on the one thread that may touch the exchange's connection. */
-  static void onIoThread(HttpServerExchange exchange, Runnable task) {
+  /** Runs a task on the exchange's I/O thread, the only one that may use its connection. */
+  static void runOnIoThread(HttpServerExchange exchange, Runnable task) {
     if (exchange.isInIoThread()) {
       task.run();
     } else {
--- a/tool/src/main/java/org/hornbeamusher/standin/LaggingInstances.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/LaggedInstanceList.java
@@ -7,30 +7,30 @@
 import java.util.Map;
 import org.hornbeamusher.table.Instance;
 
-/** The instance list, shown as it was some time ago. */
-final class LaggingInstances {
+/** The instance list, returned as it was a fixed lag ago. */
+final class LaggedInstanceList {
 
   private final long lagMillis;
-  private final Map<String, Instance> truth = new LinkedHashMap<>();
+  private final Map<String, Instance> current = new LinkedHashMap<>();
   private final Deque<Version> versions = new ArrayDeque<>();
 
-  LaggingInstances(long lagMillis, List<Instance> first) {
+  LaggedInstanceList(long lagMillis, List<Instance> first) {
     this.lagMillis = lagMillis;
-    first.forEach(instance -> truth.put(instance.id(), instance));
+    first.forEach(instance -> current.put(instance.id(), instance));
     versions.add(new Version(Long.MIN_VALUE, first));
   }
 
   void put(Instance instance, long now) {
-    truth.put(instance.id(), instance);
-    changed(now);
+    current.put(instance.id(), instance);
+    recordVersion(now);
   }
 
   void remove(String id, long now) {
-    truth.remove(id);
-    changed(now);
+    current.remove(id);
+    recordVersion(now);
   }
 
-  List<Instance> shown(long now) {
+  List<Instance> visibleAt(long now) {
     Version shown = versions.getFirst();
     while (versions.size() > 1) {
       versions.removeFirst();
@@ -43,8 +43,8 @@
     return shown.instances();
   }
 
-  private void changed(long now) {
-    versions.add(new Version(now, List.copyOf(truth.values())));
+  private void recordVersion(long now) {
+    versions.add(new Version(now, List.copyOf(current.values())));
   }
 
   private record Version(long atMillis, List<Instance> instances) {}
--- a/tool/src/main/java/org/hornbeamusher/standin/PlainServiceStandin.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/PlainServiceStandin.java
@@ -12,20 +12,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A plain service: it echoes what it was sent and counts how often it executed each key.
+ * Stand-in of a plain service: it echoes each call and counts the executions per idempotency key.
  *
- * <p>A call without {@code Idempotency-Key} is executed without being counted by key. The path does
- * not matter, so {@code POST /bookings} and {@code GET /loads/7} both work.
+ * <p>A call without {@code Idempotency-Key} is executed but not counted by key. Every path is
+ * accepted, for example {@code POST /bookings} and {@code GET /loads/7}.
  */
 public final class PlainServiceStandin {
 
   private static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
   private static final int CREATED = 201;
-  private static final int FAILED = 500;
+  private static final int INTERNAL_SERVER_ERROR = 500;
 
   private final String service;
   private final StandinServer server;
-  private final ScheduledExecutorService late =
+  private final ScheduledExecutorService delayedResponses =
       Executors.newSingleThreadScheduledExecutor(
           Thread.ofPlatform().daemon().name("plain-late").factory());
 
@@ -37,7 +37,7 @@
   /**
    * Creates a service.
    *
-   * @param service named in its answers
+   * @param service the service's name, which responses contain
    * @param host address it listens on
    * @param port port it listens on; 0 for any free one
    */
@@ -46,19 +46,19 @@
     this.server = new StandinServer(host, port, this::handle);
   }
 
-  /** Starts to listen. */
+  /** Starts listening. */
   public void start() {
     server.start();
   }
 
-  /** Stops; open calls are cut. */
+  /** Stops; open calls are aborted. */
   public void stop() {
     server.stop();
-    late.shutdownNow();
+    delayedResponses.shutdownNow();
   }
 
   /**
-   * Returns where it listens; known once started.
+   * Returns the service's address; known once it is started.
    *
    * @return for example {@code http://127.0.0.1:41001}
    */
@@ -67,18 +67,18 @@
   }
 
   /**
-   * Changes how it behaves.
+   * Sets the simulated faults.
    *
-   * @param wanted replaces every earlier behaviour
+   * @param newBehaviour replaces the earlier behaviour
    */
-  public synchronized void behave(Behaviour wanted) {
-    behaviour = wanted;
+  public synchronized void setBehaviour(Behaviour newBehaviour) {
+    behaviour = newBehaviour;
   }
 
   /**
-   * Returns what was counted.
+   * Returns the counters.
    *
-   * @return the counts so far
+   * @return the current counts
    */
   public synchronized Counts counts() {
     return new Counts(executions, executionsByKey);
@@ -86,16 +86,17 @@
 
   private void handle(HttpServerExchange exchange) {
     switch (exchange.getRequestPath()) {
-      case "/standin/counts" -> Replies.json(exchange, 200, counts());
+      case "/standin/counts" -> HttpExchanges.json(exchange, 200, counts());
       case "/standin/behaviour" ->
-          Replies.readJson(exchange, Behaviour.class, wanted -> changeBehaviour(exchange, wanted));
-      default -> Replies.readBody(exchange, body -> execute(exchange, body));
+          HttpExchanges.readJson(
+              exchange, Behaviour.class, newBehaviour -> changeBehaviour(exchange, newBehaviour));
+      default -> HttpExchanges.readBody(exchange, body -> execute(exchange, body));
     }
   }
 
-  private void changeBehaviour(HttpServerExchange exchange, Behaviour wanted) {
-    behave(wanted);
-    Replies.json(exchange, 200, wanted);
+  private void changeBehaviour(HttpServerExchange exchange, Behaviour newBehaviour) {
+    setBehaviour(newBehaviour);
+    HttpExchanges.json(exchange, 200, newBehaviour);
   }
 
   private void execute(HttpServerExchange exchange, byte[] body) {
@@ -114,43 +115,46 @@
               key,
               executions,
               new String(body, StandardCharsets.UTF_8));
-      answer(exchange, method.equals("POST") ? CREATED : 200, echo);
+      respond(exchange, method.equals("POST") ? CREATED : 200, echo);
     }
   }
 
-  /** Answers an execution as the behaviour says; the caller holds the lock. */
-  private void answer(HttpServerExchange exchange, int status, Echo echo) {
+  /**
+   * Responds to an executed call according to the configured behaviour. The caller holds the lock.
+   */
+  private void respond(HttpServerExchange exchange, int status, Echo echo) {
     if (behaviour.cutNext() > 0) {
       behaviour =
           new Behaviour(behaviour.delayMillis(), behaviour.failNext(), behaviour.cutNext() - 1);
-      Replies.cut(exchange);
+      HttpExchanges.closeConnection(exchange);
       return;
     }
     boolean fails = behaviour.failNext() > 0;
     if (fails) {
       behaviour = new Behaviour(behaviour.delayMillis(), behaviour.failNext() - 1, 0);
     }
-    Runnable reply =
+    Runnable response =
         () -> {
           if (fails) {
-            Replies.error(exchange, FAILED, "told-to-fail");
+            HttpExchanges.error(exchange, INTERNAL_SERVER_ERROR, "told-to-fail");
           } else {
-            Replies.json(exchange, status, echo);
+            HttpExchanges.json(exchange, status, echo);
           }
         };
     if (behaviour.delayMillis() > 0) {
-      late.schedule(reply, behaviour.delayMillis(), TimeUnit.MILLISECONDS);
+      delayedResponses.schedule(response, behaviour.delayMillis(), TimeUnit.MILLISECONDS);
     } else {
-      reply.run();
+      response.run();
     }
   }
 
   /**
-   * How a service behaves; also its JSON form.
+   * The simulated faults of a plain service; also their JSON form.
    *
-   * @param delayMillis how late it answers; the execution is at once
-   * @param failNext how many of the next calls are executed and answered 500
-   * @param cutNext how many of the next calls are executed and not answered: the connection closes
+   * @param delayMillis delay of responses; calls are executed without delay
+   * @param failNext number of next calls that are executed and then fail with status 500
+   * @param cutNext number of next calls that are executed but get no response: the connection is
+   *     closed
    */
   public record Behaviour(
       @JsonProperty("delay_millis") long delayMillis,
@@ -158,7 +162,7 @@
       @JsonProperty("cut_next") int cutNext) {}
 
   /**
-   * Counts of a plain service.
+   * Counters of a plain service; also their JSON form.
    *
    * @param executions calls executed
    * @param executionsByKey calls executed, by idempotency key
@@ -171,7 +175,7 @@
     }
 
     /**
-     * Returns how often a call with a key was executed again.
+     * Returns how often calls with an idempotency key were executed more than once.
      *
      * @return executions beyond the first, summed over keys
      */
--- a/tool/src/main/java/org/hornbeamusher/standin/PlatformFaults.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/PlatformFaults.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * What is wrong with the platform; also its JSON form.
+ * The simulated faults of the platform; also their JSON form.
  *
- * @param refusing every call is answered 503
- * @param silent no call is answered, and no write takes effect
- * @param delayMillis how late an answer comes; 0 for at once
- * @param loseAnswers how many of the next transactions take effect without an answer
+ * @param refusing every call fails with status 503
+ * @param silent no call gets a response, and no write takes effect
+ * @param delayMillis delay of responses; 0 for none
+ * @param loseAnswers number of next writes that take effect but get no response
  */
 public record PlatformFaults(
     boolean refusing,
@@ -16,19 +16,19 @@
     @JsonProperty("delay_millis") long delayMillis,
     @JsonProperty("lose_answers") int loseAnswers) {
 
-  /** Nothing is wrong. */
+  /** No fault. */
   public static final PlatformFaults NONE = new PlatformFaults(false, false, 0, 0);
 
-  /** Every call is answered 503. */
+  /** Every call fails with status 503. */
   public static final PlatformFaults REFUSING = new PlatformFaults(true, false, 0, 0);
 
-  /** No call is answered. */
+  /** No call gets a response. */
   public static final PlatformFaults SILENT = new PlatformFaults(false, true, 0, 0);
 
   /**
-   * Answers come late.
+   * Returns the fault that responses are delayed.
    *
-   * @param millis how late
+   * @param millis the delay
    * @return the fault
    */
   public static PlatformFaults slow(long millis) {
@@ -36,16 +36,16 @@
   }
 
   /**
-   * Transactions take effect without an answer.
+   * Returns the fault that writes take effect but get no response.
    *
-   * @param count how many of the next ones
+   * @param count number of next writes
    * @return the fault
    */
-  public static PlatformFaults losing(int count) {
+  public static PlatformFaults losingResponses(int count) {
     return new PlatformFaults(false, false, 0, count);
   }
 
-  PlatformFaults oneAnswerLost() {
+  PlatformFaults withOneAnswerLost() {
     return new PlatformFaults(refusing, silent, delayMillis, loseAnswers - 1);
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/standin/PlatformRows.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/PlatformRows.java
@@ -13,10 +13,10 @@
 import org.hornbeamusher.table.Transaction.Write;
 
 /**
- * The rows of the platform stand-in.
+ * In-memory rows of the platform stand-in with conditional transactions.
  *
- * <p>A row's revision goes on where it stopped when the row is deleted and created again, so that a
- * condition on an old revision can never hold by chance.
+ * <p>When a row is deleted and created again, its revision continues from the last one, so that a
+ * condition on an old revision never matches the new row.
  */
 final class PlatformRows {
 
--- a/tool/src/main/java/org/hornbeamusher/standin/PlatformSettings.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/PlatformSettings.java
@@ -4,14 +4,14 @@
 import org.hornbeamusher.table.Instance;
 
 /**
- * Figures of the platform stand-in.
+ * Settings of the platform stand-in.
  *
  * @param host address it listens on
  * @param port port it listens on; 0 for any free one
- * @param writesPerSecond transactions and object writes it takes
- * @param readsPerSecond reads, scans and lists it takes
- * @param listLagMillis age of the instance list
- * @param instances the list at the start
+ * @param writesPerSecond rate limit of transactions and object writes
+ * @param readsPerSecond rate limit of reads, scans and lists
+ * @param listLagMillis time until a change shows in the instance list
+ * @param instances the initial instance list
  */
 public record PlatformSettings(
     String host,
@@ -27,11 +27,12 @@
   }
 
   /**
-   * Returns the figures of the brief.
+   * Returns the default settings: the rate limits and the list lag that the platform is specified
+   * to have.
    *
    * @param port port to listen on; 0 for any free one
-   * @param instances the list at the start
-   * @return 500 writes and 2,000 reads a second, a list that is 3 s old
+   * @param instances the initial instance list
+   * @return settings with 500 writes and 2,000 reads per second and a list lag of 3 s
    */
   public static PlatformSettings of(int port, List<Instance> instances) {
     return new PlatformSettings("127.0.0.1", port, 500, 2_000, 3_000, instances);
--- a/tool/src/main/java/org/hornbeamusher/standin/PlatformStandin.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/PlatformStandin.java
@@ -21,57 +21,60 @@
 import org.hornbeamusher.table.RowKey;
 import org.hornbeamusher.table.Transaction;
 
-/** The platform over HTTP: tables, objects and the instance list, with faults on request. */
+/**
+ * Stand-in of the platform with its HTTP interface: tables, objects and the instance list, with
+ * faults on request.
+ */
 public final class PlatformStandin {
 
   private static final int SCAN_LIMIT = 1_000;
-  private static final int THROTTLED = 429;
-  private static final int UNAVAILABLE = 503;
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int SERVICE_UNAVAILABLE = 503;
 
   private final Clock clock;
   private final StandinServer server;
-  private final ScheduledExecutorService late =
+  private final ScheduledExecutorService delayedResponses =
       Executors.newSingleThreadScheduledExecutor(
           Thread.ofPlatform().daemon().name("platform-late").factory());
 
   // Guarded by this object.
   private final PlatformRows rows = new PlatformRows();
   private final Map<String, byte[]> objects = new HashMap<>();
-  private final LaggingInstances instances;
-  private final CallRate writes;
-  private final CallRate reads;
+  private final LaggedInstanceList instances;
+  private final TokenBucket writes;
+  private final TokenBucket reads;
   private PlatformFaults faults = PlatformFaults.NONE;
   private long readCount;
   private long writeCount;
   private long throttledCount;
 
   /**
-   * Creates an empty platform.
+   * Creates a platform without rows and objects.
    *
-   * @param settings its figures
-   * @param clock tells the time
+   * @param settings the platform's settings
+   * @param clock source of time for rate limits and the lag of the instance list
    */
   public PlatformStandin(PlatformSettings settings, Clock clock) {
     this.clock = clock;
-    this.instances = new LaggingInstances(settings.listLagMillis(), settings.instances());
-    this.writes = new CallRate(settings.writesPerSecond());
-    this.reads = new CallRate(settings.readsPerSecond());
+    this.instances = new LaggedInstanceList(settings.listLagMillis(), settings.instances());
+    this.writes = new TokenBucket(settings.writesPerSecond());
+    this.reads = new TokenBucket(settings.readsPerSecond());
     this.server = new StandinServer(settings.host(), settings.port(), this::handle);
   }
 
-  /** Starts to listen. */
+  /** Starts listening. */
   public void start() {
     server.start();
   }
 
-  /** Stops. */
+  /** Stops; open calls are aborted. */
   public void stop() {
     server.stop();
-    late.shutdownNow();
+    delayedResponses.shutdownNow();
   }
 
   /**
-   * Returns where it listens; known once started.
+   * Returns the platform's address; known once it is started.
    *
    * @return for example {@code http://127.0.0.1:41001}
    */
@@ -80,16 +83,16 @@
   }
 
   /**
-   * Changes what is wrong.
+   * Sets the simulated faults.
    *
-   * @param now replaces every earlier fault
+   * @param newFaults replaces the earlier faults
    */
-  public synchronized void faults(PlatformFaults now) {
-    faults = now;
+  public synchronized void setFaults(PlatformFaults newFaults) {
+    faults = newFaults;
   }
 
   /**
-   * Adds or changes an instance; the list shows it when its lag has passed.
+   * Adds or changes an instance; the list shows the change after its lag.
    *
    * @param instance the instance
    */
@@ -98,18 +101,18 @@
   }
 
   /**
-   * Removes an instance; the list shows it until its lag has passed.
+   * Removes an instance; the list shows the change after its lag.
    *
-   * @param id the instance
+   * @param id the instance's id
    */
-  public synchronized void remove(String id) {
+  public synchronized void removeInstance(String id) {
     instances.remove(id, clock.millis());
   }
 
   /**
-   * Returns what was counted.
+   * Returns the counters.
    *
-   * @return the counts so far
+   * @return the current counts
    */
   public synchronized Counts counts() {
     return new Counts(readCount, writeCount, throttledCount);
@@ -121,16 +124,16 @@
       case "GET /rows" -> read(exchange, () -> PlatformJson.Rows.of(rowsFor(exchange)));
       case "POST /commits" -> write(exchange, this::commit);
       case "GET /instances" ->
-          read(exchange, () -> PlatformJson.Instances.of(instances.shown(clock.millis())));
+          read(exchange, () -> PlatformJson.Instances.of(instances.visibleAt(clock.millis())));
       case "GET /objects" -> read(exchange, () -> object(exchange));
       case "PUT /objects" -> write(exchange, body -> putObject(exchange, body));
-      case "GET /standin/counts" -> Replies.json(exchange, 200, counts());
+      case "GET /standin/counts" -> HttpExchanges.json(exchange, 200, counts());
       case "POST /standin/faults" ->
-          Replies.readJson(
-              exchange, PlatformFaults.class, wanted -> changeFaults(exchange, wanted));
+          HttpExchanges.readJson(
+              exchange, PlatformFaults.class, newFaults -> changeFaults(exchange, newFaults));
       case "PUT /standin/instances" ->
-          Replies.readBody(exchange, body -> putInstance(exchange, body));
-      default -> Replies.error(exchange, 404, "unknown-path");
+          HttpExchanges.readBody(exchange, body -> putInstance(exchange, body));
+      default -> HttpExchanges.error(exchange, 404, "unknown-path");
     }
   }
 
@@ -140,63 +143,66 @@
 
   private synchronized void readNow(HttpServerExchange exchange, Supplier<Object> reader) {
     readCount++;
-    if (!admitted(exchange, reads)) {
+    if (!admit(exchange, reads)) {
       return;
     }
     try {
-      answer(exchange, 200, reader.get());
+      respond(exchange, 200, reader.get());
     } catch (NumberFormatException e) {
-      Replies.error(exchange, 400, "malformed-request");
+      HttpExchanges.error(exchange, 400, "malformed-request");
     }
   }
 
   private void write(HttpServerExchange exchange, Function<byte[], Object> writer) {
-    Replies.readBody(exchange, body -> writeNow(exchange, body, writer));
+    HttpExchanges.readBody(exchange, body -> writeNow(exchange, body, writer));
   }
 
   private synchronized void writeNow(
       HttpServerExchange exchange, byte[] body, Function<byte[], Object> writer) {
     writeCount++;
-    if (!admitted(exchange, writes)) {
+    if (!admit(exchange, writes)) {
       return;
     }
     Object result;
     try {
       result = writer.apply(body);
     } catch (HornbeamusherException e) {
-      answer(exchange, 400, new Replies.ErrorBody(new Replies.ErrorType(e.type().label())));
+      respond(
+          exchange,
+          400,
+          new HttpExchanges.ErrorBody(new HttpExchanges.ErrorType(e.type().label())));
       return;
     }
     if (faults.loseAnswers() > 0) {
-      faults = faults.oneAnswerLost();
-      Replies.cut(exchange);
+      faults = faults.withOneAnswerLost();
+      HttpExchanges.closeConnection(exchange);
       return;
     }
     boolean conflict = result instanceof PlatformJson.Result r && !r.committed();
-    answer(exchange, conflict ? 409 : 200, result);
+    respond(exchange, conflict ? 409 : 200, result);
   }
 
-  private boolean admitted(HttpServerExchange exchange, CallRate rate) {
+  private boolean admit(HttpServerExchange exchange, TokenBucket rate) {
     if (faults.silent()) {
       return false;
     }
     if (faults.refusing()) {
-      Replies.error(exchange, UNAVAILABLE, "unavailable");
+      HttpExchanges.error(exchange, SERVICE_UNAVAILABLE, "unavailable");
       return false;
     }
-    if (!rate.take(clock.millis())) {
+    if (!rate.tryAcquire(clock.millis())) {
       throttledCount++;
-      Replies.error(exchange, THROTTLED, "throttled");
+      HttpExchanges.error(exchange, TOO_MANY_REQUESTS, "throttled");
       return false;
     }
     return true;
   }
 
-  private void answer(HttpServerExchange exchange, int status, Object body) {
+  private void respond(HttpServerExchange exchange, int status, Object body) {
     byte[] json = PlatformJson.encode(body);
-    Runnable send = () -> Replies.bytes(exchange, status, "application/json", json);
+    Runnable send = () -> HttpExchanges.bytes(exchange, status, "application/json", json);
     if (faults.delayMillis() > 0) {
-      late.schedule(send, faults.delayMillis(), TimeUnit.MILLISECONDS);
+      delayedResponses.schedule(send, faults.delayMillis(), TimeUnit.MILLISECONDS);
     } else {
       send.run();
     }
@@ -229,9 +235,9 @@
     return new ObjectForm(null);
   }
 
-  private void changeFaults(HttpServerExchange exchange, PlatformFaults wanted) {
-    faults(wanted);
-    Replies.json(exchange, 200, wanted);
+  private void changeFaults(HttpServerExchange exchange, PlatformFaults newFaults) {
+    setFaults(newFaults);
+    HttpExchanges.json(exchange, 200, newFaults);
   }
 
   private void putInstance(HttpServerExchange exchange, byte[] body) {
@@ -239,24 +245,24 @@
     try {
       instance = PlatformJson.decode(body, PlatformJson.InstanceForm.class).toInstance();
     } catch (HornbeamusherException e) {
-      Replies.error(exchange, 400, e.type().label());
+      HttpExchanges.error(exchange, 400, e.type().label());
       return;
     }
     put(instance);
-    Replies.json(exchange, 200, counts());
+    HttpExchanges.json(exchange, 200, counts());
   }
 
-  private static String parameter(HttpServerExchange exchange, String name, String otherwise) {
+  private static String parameter(HttpServerExchange exchange, String name, String defaultValue) {
     Deque<String> values = exchange.getQueryParameters().get(name);
-    return values == null ? otherwise : values.getFirst();
+    return values == null ? defaultValue : values.getFirst();
   }
 
   /**
-   * Counts of the platform stand-in.
+   * Counters of the platform stand-in; also their JSON form.
    *
-   * @param reads reads, scans and lists asked for
-   * @param writes transactions and object writes asked for
-   * @param throttled calls refused because of their rate
+   * @param reads reads, scans and lists requested
+   * @param writes transactions and object writes requested
+   * @param throttled calls refused by a rate limit
    */
   public record Counts(long reads, long writes, long throttled) {}
 
--- a/tool/src/main/java/org/hornbeamusher/standin/PrefixCache.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/PrefixCache.java
@@ -6,14 +6,14 @@
 import org.hornbeamusher.ids.AdapterRef;
 
 /**
- * An engine's cache of prompt beginnings, in blocks of a fixed length.
+ * Simulates an engine's prefix cache, in blocks of a fixed length, with LRU eviction.
  *
- * <p>A block is known by the hash of its adapter and of the whole prompt up to its end; so a block
- * counts only if all blocks before it are the same. The least recently read block goes first.
+ * <p>A block's key is the hash of its adapter and of the prompt up to the block's end, so that a
+ * block is a hit only if all blocks before it are the same.
  */
 final class PrefixCache {
 
-  /** Characters of one block. */
+  /** Characters per block. */
   static final int BLOCK_CHARS = 64;
 
   private static final int CHARS_PER_TOKEN = 4;
@@ -27,8 +27,8 @@
     this.events = events;
   }
 
-  /** Stores a prompt's blocks and returns how many of its tokens were cached already. */
-  int read(AdapterRef adapter, String prompt, long now) {
+  /** Stores a prompt's blocks and returns how many of its tokens were already cached. */
+  int lookUpAndStore(AdapterRef adapter, String prompt, long now) {
     long hash = adapter.toString().hashCode();
     int cachedBlocks = 0;
     boolean unbroken = true;
--- a/tool/src/main/java/org/hornbeamusher/standin/AnswerJson.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/ResponseJson.java
@@ -3,14 +3,15 @@
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 
 /**
- * Parts of an answer's JSON, joined by hand: it is written once a token, and its variable parts
- * need no escaping except the request's id.
+ * Builds the JSON of a completion response by string concatenation. A streamed response needs one
+ * such object per token; of the variable parts only the request id can contain characters that need
+ * escaping.
  */
-final class AnswerJson {
+final class ResponseJson {
 
-  private AnswerJson() {}
+  private ResponseJson() {}
 
-  /** The beginning up to the choices. */
+  /** Returns the object's beginning up to {@code choices}. */
   static String head(String id, String model) {
     String escaped = new String(JsonStringEncoder.getInstance().quoteAsString(id));
     return "{\"id\":\"" + escaped + "\",\"model\":\"" + model + "\",";
--- a/tool/src/main/java/org/hornbeamusher/standin/RunningRequest.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/RunningRequest.java
@@ -2,53 +2,58 @@
 
 import org.hornbeamusher.ids.AdapterRef;
 
-/** One request in an engine's batch, or one that was cut and may be resumed. */
+/** A request in an engine's batch, or one whose connection was closed and that may be resumed. */
 final class RunningRequest {
 
   private static final int CHARS_PER_TOKEN = 4;
 
   final String id;
   final AdapterRef adapter;
-  final ExpectedAnswer answer;
-  final boolean crashes;
+  final ExpectedResponse expected;
+  final boolean crashesEngine;
   final int priority;
   final int promptTokens;
 
-  /** Prompt tokens still to be read; tokens are generated once it is 0. */
-  int prefillLeft;
+  /** Prompt tokens not yet processed; tokens are generated once it is 0. */
+  int pendingPromptTokens;
 
-  /** Tokens generated so far; the next one has this index. */
-  int generated;
+  /** Number of tokens generated so far, and the index of the next one. */
+  int generatedTokens;
 
-  /** Generated tokens after which the connection is cut; -1 for never. */
-  int cutAfter = -1;
+  /** Number of generated tokens after which the connection is closed; -1 for never. */
+  int abortAfterTokens = -1;
 
-  AnswerSink sink;
+  ResponseSink sink;
 
   RunningRequest(
-      String id, AdapterRef adapter, String prompt, int maxTokens, int priority, AnswerSink sink) {
+      String id,
+      AdapterRef adapter,
+      String prompt,
+      int maxTokens,
+      int priority,
+      ResponseSink sink) {
     this.id = id;
     this.adapter = adapter;
-    this.answer = new ExpectedAnswer(adapter, prompt, maxTokens);
-    this.crashes = prompt.contains(ExpectedAnswer.CRASH_MARK);
+    this.expected = new ExpectedResponse(adapter, prompt, maxTokens);
+    this.crashesEngine = prompt.contains(ExpectedResponse.CRASH_MARK);
     this.priority = priority;
     this.promptTokens = Math.ceilDiv(prompt.length(), CHARS_PER_TOKEN);
-    this.prefillLeft = promptTokens;
+    this.pendingPromptTokens = promptTokens;
     this.sink = sink;
   }
 
-  boolean complete() {
-    return generated >= answer.tokens();
+  boolean isComplete() {
+    return generatedTokens >= expected.tokenCount();
   }
 
-  /** Generates one token, and the end after the last. */
+  /** Generates one token, and ends the response after the last one. */
   void step() {
-    if (generated < answer.tokens()) {
-      sink.token(generated, answer.token(generated));
-      generated++;
+    if (generatedTokens < expected.tokenCount()) {
+      sink.token(generatedTokens, expected.token(generatedTokens));
+      generatedTokens++;
     }
-    if (complete()) {
-      sink.finished(answer.finishReason(), promptTokens, generated);
+    if (isComplete()) {
+      sink.finished(expected.finishReason(), promptTokens, generatedTokens);
     }
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/standin/Standin.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/Standin.java
@@ -6,19 +6,19 @@
 import org.hornbeamusher.clock.Clock;
 import org.hornbeamusher.ids.EndpointId;
 
-/** All stand-ins of one process, started and stopped together. */
+/** The stand-ins of one process, which are started and stopped together. */
 public final class Standin {
 
   private final PlatformStandin platform;
   private final Map<String, WeightStoreStandin> stores = new HashMap<>();
   private final Map<EndpointId, EngineStandin> engines = new LinkedHashMap<>();
-  private final Map<EndpointId, PlainServiceStandin> plains = new LinkedHashMap<>();
+  private final Map<EndpointId, PlainServiceStandin> plainServices = new LinkedHashMap<>();
 
   /**
    * Creates the stand-ins.
    *
-   * @param settings what there is
-   * @param clock tells all of them the time
+   * @param settings the stand-ins to create
+   * @param clock the clock of all stand-ins
    */
   public Standin(StandinSettings settings, Clock clock) {
     platform = new PlatformStandin(settings.platform(), clock);
@@ -29,22 +29,23 @@
       engines.put(
           engine.id(), new EngineStandin(engine.settings(), stores.get(engine.store()), clock));
     }
-    for (StandinSettings.Plain plain : settings.plains()) {
-      plains.put(plain.id(), new PlainServiceStandin(plain.service(), plain.host(), plain.port()));
+    for (StandinSettings.PlainService plain : settings.plainServices()) {
+      plainServices.put(
+          plain.id(), new PlainServiceStandin(plain.service(), plain.host(), plain.port()));
     }
   }
 
-  /** Starts all. */
+  /** Starts all stand-ins. */
   public void start() {
     platform.start();
     stores.values().forEach(WeightStoreStandin::start);
     engines.values().forEach(EngineStandin::start);
-    plains.values().forEach(PlainServiceStandin::start);
+    plainServices.values().forEach(PlainServiceStandin::start);
   }
 
-  /** Stops all. */
+  /** Stops all stand-ins. */
   public void stop() {
-    plains.values().forEach(PlainServiceStandin::stop);
+    plainServices.values().forEach(PlainServiceStandin::stop);
     engines.values().forEach(EngineStandin::stop);
     stores.values().forEach(WeightStoreStandin::stop);
     platform.stop();
@@ -62,7 +63,7 @@
   /**
    * Returns the engines.
    *
-   * @return the engines by name
+   * @return the engines by endpoint id
    */
   public Map<EndpointId, EngineStandin> engines() {
     return Map.copyOf(engines);
@@ -71,9 +72,9 @@
   /**
    * Returns the plain services.
    *
-   * @return their instances by name
+   * @return the stand-ins of plain services by endpoint id
    */
-  public Map<EndpointId, PlainServiceStandin> plains() {
-    return Map.copyOf(plains);
+  public Map<EndpointId, PlainServiceStandin> plainServices() {
+    return Map.copyOf(plainServices);
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/standin/StandinServer.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/StandinServer.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 import java.net.URI;
 
-/** One HTTP listener of a stand-in. */
+/** HTTP server of one stand-in. */
 final class StandinServer {
 
   private static final int IO_THREADS = 2;
--- a/tool/src/main/java/org/hornbeamusher/standin/StandinSettings.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/StandinSettings.java
@@ -14,15 +14,18 @@
 import org.hornbeamusher.toml.TomlDocument;
 
 /**
- * Everything that one process of stand-ins holds.
+ * Settings of all stand-ins of one process.
  *
  * @param platform the platform
  * @param stores the weight stores
  * @param engines the engines
- * @param plains the plain services
+ * @param plainServices the plain services
  */
 public record StandinSettings(
-    PlatformSettings platform, List<Store> stores, List<Engine> engines, List<Plain> plains) {
+    PlatformSettings platform,
+    List<Store> stores,
+    List<Engine> engines,
+    List<PlainService> plainServices) {
 
   private static final int MAX_PORT = 65_535;
   private static final int MAX_MILLIS = 3_600_000;
@@ -32,43 +35,43 @@
   public StandinSettings {
     stores = List.copyOf(stores);
     engines = List.copyOf(engines);
-    plains = List.copyOf(plains);
+    plainServices = List.copyOf(plainServices);
   }
 
   /**
    * A weight store.
    *
-   * @param name what engines call it
-   * @param loadMillis how long a load takes alone
+   * @param name the name by which engine settings refer to it
+   * @param loadMillis duration of a load when no other load runs
    */
   public record Store(String name, long loadMillis) {}
 
   /**
    * An engine.
    *
-   * @param id names it
-   * @param store where it loads from
-   * @param settings its figures
+   * @param id the engine's endpoint id
+   * @param store name of the weight store that it loads from
+   * @param settings the engine's settings
    */
   public record Engine(EndpointId id, String store, EngineSettings settings) {}
 
   /**
-   * An instance of a plain service.
+   * An endpoint of a plain service.
    *
-   * @param id names it
-   * @param service the service
+   * @param id the endpoint's id
+   * @param service the service's name
    * @param host address it listens on
    * @param port port it listens on
    */
-  public record Plain(EndpointId id, String service, String host, int port) {}
+  public record PlainService(EndpointId id, String service, String host, int port) {}
 
   /**
-   * Reads a file.
+   * Reads a settings file.
    *
    * @param file TOML as in {@code examples/standin.toml}
-   * @return what it says
+   * @return the settings
    * @throws org.hornbeamusher.failure.HornbeamusherException of type {@code SETTINGS_INVALID} that
-   *     names every fault with its line and key
+   *     lists every problem with its line and key
    */
   public static StandinSettings read(Path file) {
     TomlChecker top = TomlDocument.read(file).checker();
@@ -80,18 +83,19 @@
     stores.forEach(store -> names.add(store.name()));
     List<Engine> engines =
         top.tables("engine").stream().map(table -> engine(table, names)).toList();
-    List<Plain> plains = top.tables("plain").stream().map(StandinSettings::plain).toList();
+    List<PlainService> plains =
+        top.tables("plain").stream().map(StandinSettings::plainService).toList();
     List<Instance> instances =
         top.tables("instance").stream().map(StandinSettings::instance).toList();
     TomlChecker table = top.table("platform");
-    PlatformSettings standard = PlatformSettings.of(0, instances);
+    PlatformSettings defaults = PlatformSettings.of(0, instances);
     PlatformSettings platform =
         new PlatformSettings(
             host(table),
             port(table),
-            count(table, "writes_per_second", standard.writesPerSecond()),
-            count(table, "reads_per_second", standard.readsPerSecond()),
-            table.integer("list_lag_ms", 0, MAX_MILLIS, standard.listLagMillis()),
+            count(table, "writes_per_second", defaults.writesPerSecond()),
+            count(table, "reads_per_second", defaults.readsPerSecond()),
+            table.integer("list_lag_ms", 0, MAX_MILLIS, defaults.listLagMillis()),
             instances);
     top.finish(FailureType.SETTINGS_INVALID);
     return new StandinSettings(platform, stores, engines, plains);
@@ -100,11 +104,11 @@
   private static Store store(TomlChecker table) {
     return new Store(
         table.string("name"),
-        table.integer("load_ms", 1, MAX_MILLIS, WeightStoreStandin.FULL_SPEED_MILLIS));
+        table.integer("load_ms", 1, MAX_MILLIS, WeightStoreStandin.DEFAULT_TRANSFER_MILLIS));
   }
 
   private static Engine engine(TomlChecker table, Set<String> stores) {
-    EngineSettings standard = EngineSettings.of(0, 8, 16);
+    EngineSettings defaults = EngineSettings.of(0, 8, 16);
     EndpointId id = table.value("id", EndpointId::new);
     String store = table.string("weight_store");
     if (!stores.contains(store)) {
@@ -114,22 +118,22 @@
         new EngineSettings(
             host(table),
             port(table),
-            count(table, "slots", standard.slots()),
-            count(table, "batch", standard.batch()),
-            table.integer("token_micros", 1, MAX_COUNT, standard.tokenMicros()),
-            standard.batchSlowdown(),
-            standard.prefillTokensPerStep(),
-            standard.cacheBlocks(),
-            table.bool("fencing", standard.enforceFencing()),
-            table.integer("restart_ms", 0, MAX_MILLIS, standard.restartMillis()),
-            standard.reportLagMillis(),
-            standard.eventDelayMillis(),
-            standard.eventGap());
+            count(table, "slots", defaults.adapterCapacity()),
+            count(table, "batch", defaults.batchCapacity()),
+            table.integer("token_micros", 1, MAX_COUNT, defaults.tokenMicros()),
+            defaults.batchSlowdown(),
+            defaults.prefillTokensPerStep(),
+            defaults.cacheBlocks(),
+            table.bool("fencing", defaults.enforceFencing()),
+            table.integer("restart_ms", 0, MAX_MILLIS, defaults.restartMillis()),
+            defaults.reportLagMillis(),
+            defaults.eventDelayMillis(),
+            defaults.eventDropInterval());
     return new Engine(id, store, settings);
   }
 
-  private static Plain plain(TomlChecker table) {
-    return new Plain(
+  private static PlainService plainService(TomlChecker table) {
+    return new PlainService(
         table.value("id", EndpointId::new), table.string("service"), host(table), port(table));
   }
 
@@ -138,13 +142,13 @@
         table.string("id"),
         host(table),
         port(table),
-        runs(table),
+        role(table),
         table.value("zone", AvailabilityZone::new),
         table.value("pool", PoolName::new),
         false);
   }
 
-  private static Instance.Role runs(TomlChecker table) {
+  private static Instance.Role role(TomlChecker table) {
     return switch (table.string("runs")) {
       case "entry" -> Instance.Role.ENTRY;
       case "agent" -> Instance.Role.AGENT;
@@ -163,7 +167,7 @@
     return (int) table.integer("port", 0, MAX_PORT);
   }
 
-  private static int count(TomlChecker table, String key, int standard) {
-    return (int) table.integer(key, 1, MAX_COUNT, standard);
+  private static int count(TomlChecker table, String key, int defaultValue) {
+    return (int) table.integer(key, 1, MAX_COUNT, defaultValue);
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/standin/WeightStoreStandin.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/WeightStoreStandin.java
@@ -11,48 +11,50 @@
 import org.hornbeamusher.failure.HornbeamusherException;
 
 /**
- * The weight store that all engines load from: one load at a time at full speed.
+ * Stand-in of the weight store that engines load from: a single load runs at full speed, concurrent
+ * loads share a lower total speed.
  *
- * <p>What completes when follows from the clock alone; a thread only looks at the clock.
+ * <p>When a transfer completes depends on the clock alone; a thread polls the clock.
  */
 public final class WeightStoreStandin {
 
-  /** Two loads a second, one after the other. */
-  public static final long FULL_SPEED_MILLIS = 500;
+  /** Default duration of a load; allows two sequential loads per second. */
+  public static final long DEFAULT_TRANSFER_MILLIS = 500;
 
-  private static final long LOOK_MILLIS = 2;
+  private static final long POLL_INTERVAL_MILLIS = 2;
 
   private final Clock clock;
   private final WeightTransfers transfers;
-  private final Map<Long, CompletableFuture<Void>> waiting = new HashMap<>();
+  private final Map<Long, CompletableFuture<Void>> pendingTransfers = new HashMap<>();
   private ScheduledExecutorService ticker;
   private boolean outage;
   private long nextId;
-  private long begun;
-  private long finished;
+  private long requested;
+  private long completed;
   private long refused;
-  private int mostAtOnce;
+  private int maxConcurrent;
 
   /**
    * Creates a store.
    *
-   * @param clock decides when a transfer is complete
-   * @param fullSpeedMillis how long one transfer alone takes
+   * @param clock determines when a transfer is complete
+   * @param fullSpeedMillis duration of a transfer when no other transfer runs
    */
   public WeightStoreStandin(Clock clock, long fullSpeedMillis) {
     this.clock = clock;
     this.transfers = new WeightTransfers(fullSpeedMillis);
   }
 
-  /** Starts to look at the clock. */
+  /** Starts polling the clock. */
   public synchronized void start() {
     ticker =
         Executors.newSingleThreadScheduledExecutor(
             Thread.ofPlatform().daemon().name("weight-store").factory());
-    ticker.scheduleAtFixedRate(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+    ticker.scheduleAtFixedRate(
+        this::poll, POLL_INTERVAL_MILLIS, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Stops; transfers that are not complete never end. */
+  /** Stops; transfers in progress never complete. */
   public synchronized void stop() {
     ticker.shutdownNow();
   }
@@ -60,11 +62,12 @@
   /**
    * Transfers an adapter's weights.
    *
-   * @param weights where they are
-   * @return completes when they have arrived; fails with {@code LOAD_FAILED} in an outage
+   * @param weights location of the weights
+   * @return completes when the transfer is complete; fails with {@code LOAD_FAILED} during an
+   *     outage
    */
   public synchronized CompletableFuture<Void> fetch(String weights) {
-    begun++;
+    requested++;
     CompletableFuture<Void> arrival = new CompletableFuture<>();
     if (outage) {
       refused++;
@@ -73,56 +76,56 @@
       return arrival;
     }
     long id = nextId++;
-    waiting.put(id, arrival);
+    pendingTransfers.put(id, arrival);
     transfers.begin(id, clock.millis());
-    mostAtOnce = Math.max(mostAtOnce, transfers.active());
+    maxConcurrent = Math.max(maxConcurrent, transfers.activeCount());
     return arrival;
   }
 
   /**
-   * Begins or ends an outage; transfers under way go on.
+   * Begins or ends an outage; transfers in progress continue.
    *
    * @param down whether new transfers fail
    */
-  public synchronized void outage(boolean down) {
+  public synchronized void setOutage(boolean down) {
     outage = down;
   }
 
   /**
-   * Slows the store.
+   * Slows all transfers down.
    *
    * @param factor how many times longer a transfer takes; 1 is normal
    */
-  public synchronized void slowdown(double factor) {
-    transfers.slowdown(factor);
+  public synchronized void setSlowdown(double factor) {
+    transfers.setSlowdown(factor);
   }
 
   /**
-   * Returns what was counted.
+   * Returns the counters.
    *
-   * @return the counts so far
+   * @return the current counts
    */
   public synchronized Counts counts() {
-    return new Counts(begun, finished, refused, mostAtOnce);
+    return new Counts(requested, completed, refused, maxConcurrent);
   }
 
-  private void look() {
+  private void poll() {
     synchronized (this) {
-      for (long id : transfers.completed(clock.millis())) {
-        finished++;
-        CompletableFuture<Void> arrival = waiting.remove(id);
+      for (long id : transfers.advanceTo(clock.millis())) {
+        completed++;
+        CompletableFuture<Void> arrival = pendingTransfers.remove(id);
         arrival.completeAsync(() -> null, ticker);
       }
     }
   }
 
   /**
-   * Counts of a weight store.
+   * Counters of a weight store.
    *
-   * @param begun transfers asked for
-   * @param finished transfers completed
-   * @param refused transfers refused in an outage
-   * @param mostAtOnce most transfers under way at once
+   * @param requested transfers requested
+   * @param completed transfers completed
+   * @param refused transfers refused during an outage
+   * @param maxConcurrent maximum number of concurrent transfers
    */
-  public record Counts(long begun, long finished, long refused, int mostAtOnce) {}
+  public record Counts(long requested, long completed, long refused, int maxConcurrent) {}
 }
--- a/tool/src/main/java/org/hornbeamusher/standin/WeightTransfers.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/WeightTransfers.java
@@ -6,57 +6,58 @@
 import java.util.Map;
 
 /**
- * Progress of the transfers that share a weight store.
+ * Simulates the progress of concurrent transfers from a weight store.
  *
- * <p>One transfer alone runs at full speed. Several share {@link #SHARED_SPEED} of it in equal
- * parts, so that two loads at once take longer than the same two one after the other.
+ * <p>A single transfer runs at full speed. Concurrent transfers share {@link
+ * #CONCURRENT_SPEED_FRACTION} of it in equal parts, so that two concurrent loads take longer than
+ * two sequential ones.
  */
 final class WeightTransfers {
 
-  /** Part of the full speed that is left when several transfers run at once. */
-  static final double SHARED_SPEED = 0.7;
+  /** Total speed of concurrent transfers as a fraction of the full speed. */
+  static final double CONCURRENT_SPEED_FRACTION = 0.7;
 
   private final double fullSpeedMillis;
-  private final Map<Long, Double> remaining = new LinkedHashMap<>();
+  private final Map<Long, Double> remainingMillis = new LinkedHashMap<>();
   private double slowdown = 1;
   private long lastMillis;
 
   /**
-   * Creates an idle store.
+   * Creates a simulation without transfers.
    *
-   * @param fullSpeedMillis how long one transfer alone takes
+   * @param fullSpeedMillis duration of a transfer when no other transfer runs
    */
   WeightTransfers(long fullSpeedMillis) {
     this.fullSpeedMillis = fullSpeedMillis;
   }
 
   void begin(long id, long now) {
-    if (remaining.isEmpty()) {
+    if (remainingMillis.isEmpty()) {
       lastMillis = now;
     }
-    remaining.put(id, fullSpeedMillis);
+    remainingMillis.put(id, fullSpeedMillis);
   }
 
-  void slowdown(double factor) {
+  void setSlowdown(double factor) {
     slowdown = factor;
   }
 
-  int active() {
-    return remaining.size();
+  int activeCount() {
+    return remainingMillis.size();
   }
 
-  /** Moves time on and returns the transfers that are complete, oldest first. */
-  List<Long> completed(long now) {
+  /** Advances the time and returns the transfers that completed, oldest first. */
+  List<Long> advanceTo(long now) {
     List<Long> done = new ArrayList<>();
     double left = now - lastMillis;
     lastMillis = now;
-    while (left > 0 && !remaining.isEmpty()) {
+    while (left > 0 && !remainingMillis.isEmpty()) {
       double speed = speedOfEach();
-      double shortest = remaining.values().stream().mapToDouble(d -> d).min().orElseThrow();
+      double shortest = remainingMillis.values().stream().mapToDouble(d -> d).min().orElseThrow();
       double elapsed = Math.min(left, shortest / speed);
       double progress = elapsed * speed;
-      remaining.replaceAll((id, rest) -> rest - progress);
-      remaining
+      remainingMillis.replaceAll((id, rest) -> rest - progress);
+      remainingMillis
           .entrySet()
           .removeIf(
               entry -> {
@@ -72,7 +73,7 @@
   }
 
   private double speedOfEach() {
-    int n = remaining.size();
-    return (n == 1 ? 1.0 : SHARED_SPEED / n) / slowdown;
+    int n = remainingMillis.size();
+    return (n == 1 ? 1.0 : CONCURRENT_SPEED_FRACTION / n) / slowdown;
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/standin/package-info.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Small stand-ins for what surrounds the system: engines, plain services, the weight store and the
- * platform. They speak the interfaces of {@code docs/ENGINE-INTERFACE.md} and {@code
- * docs/PLATFORM-INTERFACE.md}, can be told to fail, and count what a test wants to know.
+ * Stand-ins of the external systems: engines, plain services, the weight store and the platform.
+ * They implement the interfaces of {@code docs/ENGINE-INTERFACE.md} and {@code
+ * docs/PLATFORM-INTERFACE.md}, simulate faults on request, and count calls for tests.
  */
 package org.hornbeamusher.standin;
--- a/tool/src/main/java/org/hornbeamusher/tool/AgentCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/AgentCommand.java
@@ -7,7 +7,7 @@
 import org.hornbeamusher.clock.SystemClock;
 import org.hornbeamusher.settings.AgentSettings;
 
-/** Runs an agent until it is told to leave. */
+/** Runs an agent until it is drained or stopped. */
 final class AgentCommand implements Command {
 
   @Override
@@ -22,7 +22,7 @@
 
   @Override
   public List<CommandOption> options() {
-    return List.of(DaemonRun.SETTINGS, DaemonRun.EVENTS);
+    return List.of(DaemonRun.SETTINGS_OPTION, DaemonRun.EVENTS_OPTION);
   }
 
   @Override
@@ -33,10 +33,10 @@
   @Override
   public int run(CommandLine line, Console console) throws InterruptedException {
     AgentSettings settings = AgentSettings.read(Path.of(line.getOptionValue("settings")));
-    DaemonRun.log(line);
+    DaemonRun.setUpLogging(line);
     AgentDaemon daemon =
         new AgentDaemon(settings, DaemonRun.sockets(settings.peerTls()), SystemClock.INSTANCE);
     daemon.start();
-    return DaemonRun.untilStopped(daemon::awaitLeaving, daemon::stop);
+    return DaemonRun.runUntilStopped(daemon::awaitLeaving, daemon::stop);
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/tool/CheckCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/CheckCommand.java
@@ -12,8 +12,8 @@
 import org.hornbeamusher.toml.TomlDocument;
 
 /**
- * Checks a file without running anything. A file with a {@code role} is settings; any other is
- * taken for a service document.
+ * Checks a file without running anything. A file with the key {@code role} is checked as a settings
+ * file, any other as a service document.
  */
 final class CheckCommand implements Command {
 
--- a/tool/src/main/java/org/hornbeamusher/tool/Command.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/Command.java
@@ -3,30 +3,31 @@
 import java.util.List;
 import org.apache.commons.cli.CommandLine;
 
-/** One command of the tool. */
+/** A command of the command line. */
 interface Command {
 
-  /** Returns the word it is called by. */
+  /** Returns the command's name. */
   String name();
 
   /**
-   * Returns the names of its arguments, in order; each is required, the last may be given often.
+   * Returns the names of the arguments in order. All are required; the last may be given more than
+   * once if its name ends with {@link CommandRunner#OR_MORE}.
    */
   List<String> arguments();
 
-  /** Returns its options. */
+  /** Returns the command's options. */
   List<CommandOption> options();
 
-  /** Returns what it does, in one line. */
+  /** Returns a one-line description for help texts. */
   String summary();
 
   /**
-   * Runs it.
+   * Runs the command.
    *
    * @param line the arguments and options, already checked against the table
-   * @param console where it writes
+   * @param console the output streams
    * @return the exit status
-   * @throws InterruptedException when the process is told to end
+   * @throws InterruptedException when interrupted
    */
   int run(CommandLine line, Console console) throws InterruptedException;
 }
--- a/tool/src/main/java/org/hornbeamusher/tool/CommandOption.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/CommandOption.java
@@ -5,12 +5,12 @@
 import org.apache.commons.cli.Option;
 
 /**
- * One option of a command.
+ * An option of a command.
  *
- * @param name its long name, without dashes
- * @param value the name of its value, or empty for a switch
- * @param required whether it must be given
- * @param summary what it does, in one line
+ * @param name the long name, without dashes
+ * @param value the name of the option's value; empty for a flag
+ * @param required whether the option is required
+ * @param summary one-line description for help texts
  */
 record CommandOption(String name, String value, boolean required, String summary) {
 
@@ -27,7 +27,7 @@
   }
 
   /** Returns the common options followed by a command's own. */
-  static List<CommandOption> and(List<CommandOption> common, CommandOption own) {
+  static List<CommandOption> append(List<CommandOption> common, CommandOption own) {
     List<CommandOption> all = new ArrayList<>(common);
     all.add(own);
     return List.copyOf(all);
--- a/tool/src/main/java/org/hornbeamusher/tool/CommandRunner.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/CommandRunner.java
@@ -13,12 +13,12 @@
 import org.hornbeamusher.toml.Problem;
 import org.hornbeamusher.toml.Problems;
 
-/** Parses a command line against the table, runs the command and turns failures into statuses. */
+/** Parses a command line, runs the command and maps failures to exit statuses. */
 final class CommandRunner {
 
   static final String VERSION = "0.1.0";
 
-  /** Ends the name of a last argument that may be given more than once. */
+  /** Suffix of the name of a last argument that may be given more than once. */
   static final String OR_MORE = "...";
 
   private final Console console;
@@ -66,7 +66,7 @@
       return usage(command, e.getMessage());
     }
     List<String> arguments = command.arguments();
-    if (!fits(line.getArgList().size(), arguments)) {
+    if (!argumentCountMatches(line.getArgList().size(), arguments)) {
       return usage(command, "expected: " + Help.usage(command));
     }
     Logging.toStandardError(Level.WARNING);
@@ -77,9 +77,9 @@
     }
   }
 
-  private static boolean fits(int given, List<String> arguments) {
-    boolean more = !arguments.isEmpty() && arguments.getLast().endsWith(OR_MORE);
-    return given == arguments.size() || (more && given > arguments.size());
+  private static boolean argumentCountMatches(int given, List<String> arguments) {
+    boolean repeatable = !arguments.isEmpty() && arguments.getLast().endsWith(OR_MORE);
+    return given == arguments.size() || (repeatable && given > arguments.size());
   }
 
   private int usage(Command command, String message) {
@@ -98,6 +98,6 @@
     } else {
       problems.forEach(console.err()::println);
     }
-    return CommandTable.statusOf(failure.type());
+    return CommandTable.exitStatus(failure.type());
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/tool/CommandTable.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/CommandTable.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.hornbeamusher.failure.FailureType;
 
-/** Every command, in the order that {@code --help} lists them. */
+/** All commands, in the order in which {@code --help} lists them. */
 final class CommandTable {
 
   static final List<Command> COMMANDS =
@@ -28,8 +28,10 @@
     return COMMANDS.stream().filter(command -> command.name().equals(name)).findFirst();
   }
 
-  /** Failures of bad input exit with another status than those of the system. */
-  static int statusOf(FailureType type) {
+  /**
+   * Maps a failure to an exit status, which distinguishes bad input from failures of the system.
+   */
+  static int exitStatus(FailureType type) {
     return switch (type) {
       case SETTINGS_INVALID, DOCUMENT_INVALID, USAGE -> ExitStatus.BAD_INPUT;
       default -> ExitStatus.FAILED;
--- a/tool/src/main/java/org/hornbeamusher/tool/Console.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/Console.java
@@ -3,9 +3,9 @@
 import java.io.PrintStream;
 
 /**
- * Where a command writes.
+ * The output streams of a command.
  *
- * @param out results
- * @param err faults and usage
+ * @param out for results
+ * @param err for problems and usage messages
  */
 record Console(PrintStream out, PrintStream err) {}
--- a/tool/src/main/java/org/hornbeamusher/tool/DaemonRun.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/DaemonRun.java
@@ -9,12 +9,12 @@
 import org.hornbeamusher.settings.TlsSettings;
 import org.hornbeamusher.wire.WireSockets;
 
-/** What the commands that run a daemon have in common. */
+/** Common code of the commands that run a daemon. */
 final class DaemonRun {
 
-  static final CommandOption SETTINGS =
+  static final CommandOption SETTINGS_OPTION =
       CommandOption.required("settings", "FILE", "settings file; see docs/SETTINGS.md");
-  static final CommandOption EVENTS =
+  static final CommandOption EVENTS_OPTION =
       CommandOption.optional(
           "events", "LEVEL", "lowest level of events that are logged: fine, info or warning");
 
@@ -22,20 +22,23 @@
 
   private DaemonRun() {}
 
-  /** Something that blocks until it is done. */
-  interface Blocking {
+  /** A task that may block. */
+  interface BlockingTask {
 
-    /** Runs to its end. */
+    /** Runs the task and returns when it is done. */
     void run() throws InterruptedException;
   }
 
-  /** Sets up logging as the command line says. */
-  static void log(CommandLine line) {
+  /** Sets up logging with the level given on the command line. */
+  static void setUpLogging(CommandLine line) {
     String level = line.getOptionValue("events", "info").toUpperCase(Locale.ROOT);
     Logging.toStandardError(Level.parse(level));
   }
 
-  /** Makes the sockets between processes; keys are read again while the process runs. */
+  /**
+   * Creates the factory of the sockets between processes. TLS keys are reloaded while the process
+   * runs.
+   */
   static WireSockets sockets(Optional<TlsSettings> tls) {
     if (tls.isEmpty()) {
       return new WireSockets.Plain();
@@ -48,14 +51,16 @@
   }
 
   /**
-   * Waits for the end of a started daemon. SIGTERM and SIGINT run the shutdown hook, and the JVM
-   * waits for it: nothing in flight is cut off, and the exit status is the signal's (143 or 130).
+   * Waits until a started daemon is drained, then stops it. SIGTERM and SIGINT run the shutdown
+   * hook, which stops the daemon. The JVM waits for the hook, so that requests in flight are
+   * completed; the exit status is that of the signal (143 or 130).
    */
-  static int untilStopped(Blocking awaitLeaving, Blocking stop) throws InterruptedException {
+  static int runUntilStopped(BlockingTask awaitDrain, BlockingTask stop)
+      throws InterruptedException {
     Thread hook = Thread.ofPlatform().name("stop").unstarted(() -> runQuietly(stop));
     Runtime.getRuntime().addShutdownHook(hook);
-    awaitLeaving.run();
-    if (withdrawn(hook)) {
+    awaitDrain.run();
+    if (removeHook(hook)) {
       stop.run();
     } else {
       hook.join();
@@ -64,10 +69,11 @@
   }
 
   /**
-   * Takes the hook back, so that the daemon is stopped once. It cannot be taken back when a signal
-   * came first: stopping makes the daemon leave, which wakes this thread while the hook still runs.
+   * Removes the shutdown hook, so that the daemon is stopped only once. The hook cannot be removed
+   * when it runs already because of a signal: stopping the daemon also drains it, which wakes this
+   * thread while the hook still runs.
    */
-  private static boolean withdrawn(Thread hook) {
+  private static boolean removeHook(Thread hook) {
     try {
       return Runtime.getRuntime().removeShutdownHook(hook);
     } catch (IllegalStateException shuttingDown) {
@@ -75,7 +81,7 @@
     }
   }
 
-  private static void runQuietly(Blocking stop) {
+  private static void runQuietly(BlockingTask stop) {
     try {
       stop.run();
     } catch (InterruptedException e) {
--- a/tool/src/main/java/org/hornbeamusher/tool/DemoCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/DemoCommand.java
@@ -4,7 +4,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.hornbeamusher.demo.Demo;
 
-/** Runs both partners on the loopback interface. */
+/** Runs the demo: both partners over the loopback interface. */
 final class DemoCommand implements Command {
 
   @Override
--- a/tool/src/main/java/org/hornbeamusher/tool/DrainCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/DrainCommand.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.apache.commons.cli.CommandLine;
 
-/** Makes a process leave. */
+/** Drains a process: it completes its requests and then ends. */
 final class DrainCommand implements Command {
 
   @Override
--- a/tool/src/main/java/org/hornbeamusher/tool/EntryCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/EntryCommand.java
@@ -7,7 +7,7 @@
 import org.hornbeamusher.entry.EntryDaemon;
 import org.hornbeamusher.settings.EntrySettings;
 
-/** Runs an entry until it is told to leave. */
+/** Runs an entry until it is drained or stopped. */
 final class EntryCommand implements Command {
 
   @Override
@@ -22,7 +22,7 @@
 
   @Override
   public List<CommandOption> options() {
-    return List.of(DaemonRun.SETTINGS, DaemonRun.EVENTS);
+    return List.of(DaemonRun.SETTINGS_OPTION, DaemonRun.EVENTS_OPTION);
   }
 
   @Override
@@ -33,10 +33,10 @@
   @Override
   public int run(CommandLine line, Console console) throws InterruptedException {
     EntrySettings settings = EntrySettings.read(Path.of(line.getOptionValue("settings")));
-    DaemonRun.log(line);
+    DaemonRun.setUpLogging(line);
     EntryDaemon daemon =
         new EntryDaemon(settings, DaemonRun.sockets(settings.peerTls()), SystemClock.INSTANCE);
     daemon.start();
-    return DaemonRun.untilStopped(daemon::awaitLeaving, daemon::stop);
+    return DaemonRun.runUntilStopped(daemon::awaitLeaving, daemon::stop);
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/tool/ExplainCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/ExplainCommand.java
@@ -7,7 +7,7 @@
 import org.hornbeamusher.explain.Explanation;
 import org.hornbeamusher.explain.LogLine;
 
-/** Tells from the logs of several processes what became of one request, and why. */
+/** Explains from the logs of several processes how one request ended, and why. */
 final class ExplainCommand implements Command {
 
   @Override
--- a/tool/src/main/java/org/hornbeamusher/tool/Help.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/Help.java
@@ -3,7 +3,7 @@
 import java.io.PrintStream;
 import java.util.stream.Collectors;
 
-/** Writes the help texts from the table of commands. */
+/** Prints help texts generated from the table of commands. */
 final class Help {
 
   private Help() {}
--- a/tool/src/main/java/org/hornbeamusher/tool/LoadCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/LoadCommand.java
@@ -19,12 +19,12 @@
 import org.hornbeamusher.load.LoadSettings;
 import org.hornbeamusher.load.Traffic;
 
-/** Sends a skewed workload to entries and checks every answer. */
+/** Sends a skewed workload to entries and checks every response. */
 final class LoadCommand implements Command {
 
   private static final int IO_THREADS = 2;
   private static final double SKEW = 1.0;
-  private static final double COLD_SHARE = 0.05;
+  private static final double UNIFORM_SHARE = 0.05;
   private static final double STREAMED_SHARE = 0.5;
   private static final int PROMPT_CHARS = 200;
 
@@ -89,13 +89,13 @@
           FailureType.USAGE, "the token's caller has no model at " + entry);
     }
     int tokens = number(line, "tokens", 32);
-    return new Traffic.Model(adapters, SKEW, COLD_SHARE, STREAMED_SHARE, PROMPT_CHARS, tokens);
+    return new Traffic.Model(adapters, SKEW, UNIFORM_SHARE, STREAMED_SHARE, PROMPT_CHARS, tokens);
   }
 
-  private static int number(CommandLine line, String option, int standard) {
+  private static int number(CommandLine line, String option, int defaultValue) {
     return line.hasOption(option)
         ? (int) Numbers.parse(option, line.getOptionValue(option))
-        : standard;
+        : defaultValue;
   }
 
   private static void writePercentiles(LoadReport report, Path file) {
--- a/tool/src/main/java/org/hornbeamusher/tool/Numbers.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/Numbers.java
@@ -3,7 +3,7 @@
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 
-/** Reads numbers from the command line. */
+/** Parses numeric options of the command line. */
 final class Numbers {
 
   private Numbers() {}
@@ -15,12 +15,12 @@
         return number;
       }
     } catch (NumberFormatException e) {
-      throw wrong(option).causedBy(e);
+      throw invalid(option).causedBy(e);
     }
-    throw wrong(option);
+    throw invalid(option);
   }
 
-  private static HornbeamusherException wrong(String option) {
+  private static HornbeamusherException invalid(String option) {
     return HornbeamusherException.notRun(
         FailureType.USAGE, "--" + option + " must be a whole number from 0");
   }
--- a/tool/src/main/java/org/hornbeamusher/tool/OperatorClient.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/OperatorClient.java
@@ -17,10 +17,10 @@
 import org.hornbeamusher.http.HttpClient;
 import org.hornbeamusher.http.HttpReply;
 
-/** Calls the operators' interface of one process with an operator's token. */
+/** Client of one process's operator interface. */
 final class OperatorClient {
 
-  /** The options of every command that calls a process. */
+  /** The common options of commands that call a process. */
   static final List<CommandOption> OPTIONS =
       List.of(
           CommandOption.optional("at", "URI", "the process; else HORNBEAMUSHER_AT"),
@@ -44,20 +44,23 @@
     this.token = token;
   }
 
-  /** Returns the address that the command line, else the environment names. */
+  /** Returns the address from the command line, or else from the environment. */
   static String address(CommandLine line) {
     String environment = System.getenv().getOrDefault("HORNBEAMUSHER_AT", DEFAULT_URI);
     return line.getOptionValue("at", environment);
   }
 
-  /** The token comes from a file or the environment: other users of a machine see its arguments. */
+  /**
+   * Returns the token from a file or the environment. It is not an argument because other users of
+   * the machine can see the arguments of processes.
+   */
   static String token(CommandLine line) {
     return line.hasOption("token-file")
         ? TextFiles.read(Path.of(line.getOptionValue("token-file"))).strip()
         : System.getenv().getOrDefault("HORNBEAMUSHER_TOKEN", "");
   }
 
-  /** Sends one call and returns the body of a good answer. */
+  /** Sends a request and returns the body of a successful response. */
   String send(String method, String pathAndQuery, String body, Console console) {
     HttpClient http = new HttpClient(1);
     http.start();
@@ -68,10 +71,10 @@
               base.resolve(pathAndQuery),
               Map.of("Authorization", "Bearer " + token),
               body.getBytes(StandardCharsets.UTF_8));
-      HttpReply reply = http.send(call, TIMEOUT_MILLIS).join();
-      String text = new String(reply.body(), StandardCharsets.UTF_8);
-      if (reply.status() >= FIRST_ERROR_STATUS) {
-        throw refused(reply.status(), text, console);
+      HttpReply response = http.send(call, TIMEOUT_MILLIS).join();
+      String text = new String(response.body(), StandardCharsets.UTF_8);
+      if (response.status() >= FIRST_ERROR_STATUS) {
+        throw failureOf(response.status(), text, console);
       }
       return text;
     } catch (CompletionException e) {
@@ -90,8 +93,10 @@
     }
   }
 
-  /** Shows what the process said and keeps its type for the exit status. */
-  private static HornbeamusherException refused(int status, String text, Console console) {
+  /**
+   * Prints the problems in an error response and returns an exception with its type and message.
+   */
+  private static HornbeamusherException failureOf(int status, String text, Console console) {
     try {
       JsonNode error = JSON.readTree(text.getBytes(StandardCharsets.UTF_8)).path("error");
       error
@@ -106,9 +111,9 @@
                           problem.path("line").asInt(),
                           problem.path("key").asText(),
                           problem.path("detail").asText()));
-      String said = error.path("type").asText("status " + status);
+      String type = error.path("type").asText("status " + status);
       return HornbeamusherException.notRun(
-          FailureType.REFUSED_BY_PROCESS, said, error.path("message").asText());
+          FailureType.REFUSED_BY_PROCESS, type, error.path("message").asText());
     } catch (IOException e) {
       return HornbeamusherException.notRun(FailureType.INTERNAL, "status " + status).causedBy(e);
     }
--- a/tool/src/main/java/org/hornbeamusher/tool/ShowCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/ShowCommand.java
@@ -21,7 +21,7 @@
 
   @Override
   public List<CommandOption> options() {
-    return CommandOption.and(
+    return CommandOption.append(
         OperatorClient.OPTIONS,
         CommandOption.optional("version", "N", "an older version, from the audit trail"));
   }
@@ -37,7 +37,7 @@
     OperatorClient client = new OperatorClient(line);
     JsonNode document =
         line.hasOption("version")
-            ? older(
+            ? readOldVersion(
                 client, service, Numbers.parse("version", line.getOptionValue("version")), console)
             : OperatorClient.parse(
                 client.send("GET", "/operator/documents/" + service, "", console));
@@ -52,7 +52,7 @@
     return ExitStatus.OK;
   }
 
-  private static JsonNode older(
+  private static JsonNode readOldVersion(
       OperatorClient client, String service, long version, Console console) {
     String path = "/operator/history/" + service + "?limit=1&after=" + Math.max(0, version - 1);
     JsonNode first = OperatorClient.parse(client.send("GET", path, "", console)).path(0);
--- a/tool/src/main/java/org/hornbeamusher/tool/StandinCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/StandinCommand.java
@@ -8,7 +8,7 @@
 import org.hornbeamusher.standin.Standin;
 import org.hornbeamusher.standin.StandinSettings;
 
-/** Runs stand-ins of the platform, weight stores, engines and plain services. */
+/** Runs stand-ins of the platform, weight stores, engines and plain services until stopped. */
 final class StandinCommand implements Command {
 
   @Override
@@ -23,7 +23,7 @@
 
   @Override
   public List<CommandOption> options() {
-    return List.of(DaemonRun.SETTINGS);
+    return List.of(DaemonRun.SETTINGS_OPTION);
   }
 
   @Override
@@ -38,6 +38,6 @@
     standin.start();
     console.err().println("stand-ins listen; platform at " + standin.platform().uri());
     CountDownLatch never = new CountDownLatch(1);
-    return DaemonRun.untilStopped(never::await, standin::stop);
+    return DaemonRun.runUntilStopped(never::await, standin::stop);
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/tool/StatusCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/StatusCommand.java
@@ -18,7 +18,7 @@
 
   @Override
   public List<CommandOption> options() {
-    return CommandOption.and(
+    return CommandOption.append(
         OperatorClient.OPTIONS, CommandOption.flag("json", "print JSON instead of text"));
   }
 
--- a/tool/src/main/java/org/hornbeamusher/tool/SubmitCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/SubmitCommand.java
@@ -24,7 +24,7 @@
 
   @Override
   public List<CommandOption> options() {
-    return CommandOption.and(
+    return CommandOption.append(
         OperatorClient.OPTIONS,
         CommandOption.required("base", "N", "the version the change is based on; 0 for none"));
   }
@@ -40,10 +40,10 @@
     String text = TextFiles.read(file);
     long base = Numbers.parse("base", line.getOptionValue("base"));
     String service = service(file, text);
-    String answer =
+    String response =
         new OperatorClient(line)
             .send("POST", "/operator/documents/" + service + "?base=" + base, text, console);
-    JsonNode accepted = OperatorClient.parse(answer);
+    JsonNode accepted = OperatorClient.parse(response);
     console
         .out()
         .printf(
@@ -52,7 +52,10 @@
     return ExitStatus.OK;
   }
 
-  /** A faulty text is refused here, with its lines, before any process is troubled. */
+  /**
+   * Returns the service's name from the document. An invalid document is rejected here with its
+   * problems, before any process is called.
+   */
   private static String service(Path file, String text) {
     return switch (ServiceDocumentReader.read(file.toString(), text)) {
       case DocumentReading.Valid valid -> valid.document().service().value();
--- a/tool/src/main/java/org/hornbeamusher/tool/TextFiles.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/TextFiles.java
@@ -6,7 +6,7 @@
 import org.hornbeamusher.failure.FailureType;
 import org.hornbeamusher.failure.HornbeamusherException;
 
-/** Reads files that the command line names. */
+/** Reads text files given on the command line. */
 final class TextFiles {
 
   private TextFiles() {}
--- a/tool/src/main/java/org/hornbeamusher/tool/Tool.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/Tool.java
@@ -2,7 +2,7 @@
 
 import org.hornbeamusher.events.KeepingLogManager;
 
-/** Entry point of the command line. */
+/** Main class of the command line. */
 public final class Tool {
 
   private Tool() {}
@@ -11,10 +11,10 @@
    * Runs one command and exits with its status.
    *
    * @param args the command's name, its arguments and its options
-   * @throws InterruptedException when the process is told to end
+   * @throws InterruptedException when interrupted
    */
   public static void main(String[] args) throws InterruptedException {
-    // Before anything is logged: the JDK reads this once, when the first logger is made.
+    // Must be set before the first logger is created: the JDK reads the property only then.
     System.setProperty("java.util.logging.manager", KeepingLogManager.class.getName());
     Console console = new Console(System.out, System.err);
     System.exit(new CommandRunner(console).run(args));
--- a/tool/src/main/java/org/hornbeamusher/tool/package-info.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/package-info.java
@@ -1,2 +1,2 @@
-/** The command line: parses options from one table and calls the library. */
+/** Command line: parses arguments according to the table of commands and runs the command. */
 package org.hornbeamusher.tool;
--- a/tool/src/test/java/org/hornbeamusher/explain/ExplanationTest.java
+++ b/tool/src/test/java/org/hornbeamusher/explain/ExplanationTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** On-call engineers have an id and the logs of several processes. */
+/** Explains requests from their id and the logs of several processes. */
 class ExplanationTest {
 
   private static final String PLACED =
@@ -34,7 +34,7 @@
       {"time":"2026-03-26T05:43:51.322Z","name":"ATTEMPT_ENDED","id":"c8",\
       "endpoint":"i-second","end":"endpoint-failed","status":500,"caller_status":200}\
       """;
-  private static final String CUT =
+  private static final String TRUNCATED =
       """
       {"time":"2026-03-26T05:43:51.323Z","name":"REQUEST_ENDED","id":"c8",\
       "cause":"endpoint-failed","status":0,"sends":2}\
@@ -48,7 +48,7 @@
       """
       {"time":"2026-03-26T05:40:00.000Z","name":"ENGINE_SEEN","endpoint":"i-first"}\
       """;
-  private static final String SILENT =
+  private static final String UNREACHABLE =
       """
       {"time":"2026-03-26T05:43:51.100Z","name":"ENGINE_UNREACHABLE","reason":"connect-failed"}\
       """;
@@ -59,22 +59,25 @@
       """;
 
   /**
-   * A stream broke off and the next engine failed it. Its caller asks why; the line of the second
-   * attempt says so, whatever order the lines are read in.
+   * A stream was truncated because the retry's engine failed. The line of the second attempt must
+   * decide, regardless of the order in which the lines are read.
    */
   @Test
-  void attemptThatEndedAsTheRequestDidDecides() {
+  void attemptWithTheCauseOfTheEndDecides() {
     Explanation explanation =
-        Explanation.of("c8", lines("entry", CUT, FAILED, PLACED_AGAIN, CRASHED, PLACED));
+        Explanation.of("c8", lines("entry", TRUNCATED, FAILED, PLACED_AGAIN, CRASHED, PLACED));
     assertEquals("endpoint-failed", explanation.deciding().orElseThrow().field("end"));
     assertEquals(
         List.of("REQUEST_PLACED", "ATTEMPT_ENDED", "REQUEST_PLACED", "ATTEMPT_ENDED"),
         explanation.lines().stream().map(LogLine::name).limit(4).toList());
   }
 
-  /** A request that no endpoint wanted had no line that led to an endpoint. */
+  /**
+   * A request refused because all endpoints were backing off has no line of its own that names an
+   * endpoint; the back-off must be found.
+   */
   @Test
-  void refusalIsExplainedByTheEndpointThatWantedNoRequests() {
+  void refusalIsExplainedByTheEndpointThatBacksOff() {
     List<LogLine> all =
         Stream.of(
                 backoff("entry", "49.000", "i-over", 1_000),
@@ -98,11 +101,11 @@
   }
 
   /**
-   * A request waited for an adapter until it was refused. The line of its placing decides, and the
-   * agent's order for that adapter stands beside it; orders for other adapters do not.
+   * A request waited for an adapter until it was refused. The line of its placement must decide,
+   * and the agent's order for that adapter is included; orders for other adapters are not.
    */
   @Test
-  void refusedRequestIsExplainedByItsPlacingAndTheOrders() {
+  void refusedRequestIsExplainedByItsPlacementAndTheOrders() {
     String mine = order("base/a390");
     String other = order("base/a1");
     Explanation explanation =
@@ -120,14 +123,17 @@
             .toList());
   }
 
-  /** An agent that sees no engine cannot name it; its log is known by what it named before. */
+  /**
+   * An agent that cannot reach its engine does not log the endpoint; its log must be identified by
+   * earlier lines.
+   */
   @Test
-  void silenceOfTheEngineStandsBesideTheRequest() {
+  void unreachableEngineIsIncluded() {
     List<LogLine> all =
         Stream.of(
                 lines("entry", PLACED, CRASHED),
-                lines("agent", SEEN, SILENT),
-                lines("other-agent", SILENT))
+                lines("agent", SEEN, UNREACHABLE),
+                lines("other-agent", UNREACHABLE))
             .flatMap(List::stream)
             .toList();
     List<LogLine> lines = Explanation.of("c8", all).lines();
@@ -140,15 +146,18 @@
   }
 
   @Test
-  void idThatNoLineBearsHasNoExplanation() {
-    Explanation explanation = Explanation.of("other", lines("entry", PLACED, CUT));
+  void unknownIdHasNoExplanation() {
+    Explanation explanation = Explanation.of("other", lines("entry", PLACED, TRUNCATED));
     assertTrue(explanation.lines().isEmpty());
     assertFalse(explanation.deciding().isPresent());
   }
 
-  /** Logs hold stack traces, cut lines and other programs' words; none of them stops the reader. */
+  /**
+   * Logs contain stack traces, truncated lines and output of other programs; none of these may make
+   * the parser fail.
+   */
   @Property(tries = 300, seed = "5")
-  void anyTextIsReadOrLeftOut(@ForAll String text) {
+  void anyTextIsParsedOrSkipped(@ForAll String text) {
     assertEquals(Optional.empty(), LogLine.parse("f", text));
     assertEquals(Optional.empty(), LogLine.parse("f", PLACED.substring(0, 60) + text));
   }
