--- a/tool/src/test/java/org/hornbeamusher/load/LoadRunnerTest.java
+++ b/tool/src/test/java/org/hornbeamusher/load/LoadRunnerTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The workload straight at a stand-in, whose interface for completions is the entry's. */
+/**
+ * Sends the workload directly to an engine stand-in, which has the same completions interface as an
+ * entry.
+ */
 class LoadRunnerTest {
 
   private static final AdapterRef HOT = AdapterRef.parse("valuer-llm/utes@1");
@@ -54,7 +57,7 @@
   }
 
   @Test
-  void everyAnswerIsCheckedAndCounted() throws InterruptedException {
+  void everyResponseIsCheckedAndCounted() throws InterruptedException {
     Traffic.Model traffic = new Traffic.Model(List.of(HOT), 1, 0, 0.5, 40, 8);
     LoadReport report = run(LoadSettings.of(List.of(engine.uri()), "", 100, 0, traffic));
     assertEquals(100, report.answered());
@@ -64,7 +67,7 @@
     assertEquals(Map.of(HOT.toString(), 100L), engine.counts().runs());
   }
 
-  /** The stand-in's errors carry no outcome, so a caller cannot take them for refusals. */
+  /** The stand-in's errors state no outcome, so they must not count as refusals. */
   @Test
   void errorsWithoutAnOutcomeAreFailures() throws InterruptedException {
     Traffic.Model traffic = new Traffic.Model(List.of(COLD), 1, 0, 0, 40, 8);
@@ -73,9 +76,9 @@
     assertEquals(10, report.requests());
   }
 
-  /** Nobody listens: every request is lost, and the run ends all the same. */
+  /** Connections are refused: every request is lost, and the run still ends. */
   @Test
-  void requestsWithoutAnAnswerAreLost() throws InterruptedException {
+  void requestsWithoutResponseAreLost() throws InterruptedException {
     Traffic.Model traffic = new Traffic.Model(List.of(HOT), 1, 0, 0, 40, 8);
     URI nobody = URI.create("http://127.0.0.1:1");
     LoadReport report = run(LoadSettings.of(List.of(nobody), "", 10, 0, traffic));
@@ -87,14 +90,14 @@
   }
 
   /**
-   * A valuation is sent again under its key and run again: two prices for one car. The engine alone
-   * does not prevent that, so every one of them must be noticed.
+   * The engine alone does not prevent that a request sent twice under one key runs twice (two
+   * prices for one car); every such run must be counted.
    */
   @Test
   void resentRequestThatRunsAgainIsRepeated() throws InterruptedException {
     Traffic.Model traffic = new Traffic.Model(List.of(HOT), 1, 0, 0.5, 40, 8);
     LoadSettings settings =
-        LoadSettings.of(List.of(engine.uri()), "", 5, 0, traffic).withOnce(1, 1);
+        LoadSettings.of(List.of(engine.uri()), "", 5, 0, traffic).withNonRepeatable(1, 1);
     LoadReport report = run(settings);
     assertEquals(5, report.answered());
     assertEquals(5, report.repeated());
--- a/tool/src/test/java/org/hornbeamusher/path/FaultsTest.java
+++ b/tool/src/test/java/org/hornbeamusher/path/FaultsTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One fault at a time over real sockets, judged by what callers receive. */
+/** One fault at a time over real sockets; asserts what callers receive. */
 class FaultsTest {
 
-  private static final int LONG = 400;
+  private static final int LONG_RESPONSE_TOKENS = 400;
   private PathFixture path;
 
   @BeforeEach
@@ -36,146 +36,163 @@
   }
 
   /**
-   * An engine crashes while it runs requests that may be repeated. Their callers get whole answers
-   * from the other engine, a little later, and nothing else.
+   * An engine crashes while it runs a repeatable request. The request must be retried at the other
+   * engine, and its caller must get a complete response.
    */
   @Test
-  void requestsOfCrashedEnginesAreAnsweredElsewhere() {
+  void requestOfCrashedEngineIsRetriedElsewhere() {
     AdapterRef adapter = PathFixture.adapter(1);
     HttpReply first = path.complete(0, adapter, "warm", 4).join();
-    EngineStandin engine = path.engineOf(first.headers().get("x-endpoint"));
+    EngineStandin engine = path.engine(first.headers().get("x-endpoint"));
 
-    CompletableFuture<HttpReply> answer = path.complete(0, adapter, "roster", LONG);
+    CompletableFuture<HttpReply> response =
+        path.complete(0, adapter, "roster", LONG_RESPONSE_TOKENS);
     awaitRunning(engine);
     engine.restart();
 
-    assertEquals(PathFixture.expected(adapter, "roster", LONG), PathFixture.text(answer.join()));
+    assertEquals(
+        PathFixture.expected(adapter, "roster", LONG_RESPONSE_TOKENS),
+        PathFixture.text(response.join()));
   }
 
   /**
-   * An engine crashes in the middle of a streamed answer of which the caller has a part already. A
-   * second run would begin the answer anew, so the caller must see that it was cut: an error event,
-   * no end mark, and a connection that does not end properly.
+   * An engine crashes while it streams a response of which the caller has received a part. A retry
+   * would start the response again, so the truncation must be visible to the caller: an error
+   * event, no end mark, and a connection that is not ended properly.
    */
   @Test
-  void cutStreamsAreVisible() {
+  void truncatedStreamIsVisibleToCaller() {
     AdapterRef adapter = PathFixture.adapter(1);
     HttpReply first = path.complete(0, adapter, "warm", 4).join();
-    EngineStandin engine = path.engineOf(first.headers().get("x-endpoint"));
+    EngineStandin engine = path.engine(first.headers().get("x-endpoint"));
 
-    StreamedReply reply = new StreamedReply();
+    StreamedResponseRecorder stream = new StreamedResponseRecorder();
     path.client().stream(
-        StreamedReply.call(path.entry(0).uri(), PathFixture.completion(adapter, "x", LONG, true)),
-        reply);
-    PathFixture.await(() -> reply.text().contains("data: "));
+        StreamedResponseRecorder.call(
+            path.entry(0).uri(), PathFixture.completion(adapter, "x", LONG_RESPONSE_TOKENS, true)),
+        stream);
+    PathFixture.await(() -> stream.text().contains("data: "));
     engine.restart();
 
-    PathFixture.await(reply::isEnded);
-    assertTrue(reply.text().contains("\"error\""), reply.text());
-    assertFalse(reply.text().contains("[DONE]"), reply.text());
-    assertTrue(reply.isCut());
+    PathFixture.await(stream::isEnded);
+    assertTrue(stream.text().contains("\"error\""), stream.text());
+    assertFalse(stream.text().contains("[DONE]"), stream.text());
+    assertTrue(stream.isTruncated());
   }
 
   /**
-   * A non-repeatable request is sent twice, as by a caller that gave up waiting, to two entries. It
-   * must run once; the second send is told that it runs, or gets the first one's answer.
+   * A non-repeatable request is sent to two entries, as by a caller that timed out and retried. It
+   * must run once; the other send must get the failure claim-in-progress or the first one's
+   * response.
    */
   @Test
   void nonRepeatableRequestsSentTwiceRunOnce() {
     AdapterRef adapter = PathFixture.adapter(2);
-    String key = PathFixture.key();
+    String key = PathFixture.newKey();
     CompletableFuture<HttpReply> one =
-        path.complete(0, adapter, "booking", 40, PathFixture.once(key));
+        path.complete(0, adapter, "booking", 40, PathFixture.nonRepeatableHeaders(key));
     CompletableFuture<HttpReply> two =
-        path.complete(1, adapter, "booking", 40, PathFixture.once(key));
+        path.complete(1, adapter, "booking", 40, PathFixture.nonRepeatableHeaders(key));
     List<Integer> statuses = new ArrayList<>(List.of(one.join().status(), two.join().status()));
 
     assertTrue(statuses.contains(200), statuses.toString());
     assertEquals(1, path.runsOfKey(key));
     HttpReply again =
-        resentUntilEnded(() -> path.complete(1, adapter, "booking", 40, PathFixture.once(key)));
+        resendUntilEnded(
+            () -> path.complete(1, adapter, "booking", 40, PathFixture.nonRepeatableHeaders(key)));
     assertEquals(PathFixture.expected(adapter, "booking", 40), PathFixture.text(again));
     assertEquals(1, path.runsOfKey(key));
   }
 
   /**
    * The engine crashes while it runs a non-repeatable request. Whether the booking was made cannot
-   * be known, so the caller is told {@code unknown}, and sending it again does not run it again.
+   * be known, so the outcome must be {@code unknown}, and sending the request again must not run it
+   * again.
    */
   @Test
-  void nonRepeatableRequestsAreNotRepeatedAfterCrashes() {
+  void nonRepeatableRequestIsNotRetriedAfterCrash() {
     AdapterRef adapter = PathFixture.adapter(1);
     HttpReply first = path.complete(0, adapter, "warm", 4).join();
-    EngineStandin engine = path.engineOf(first.headers().get("x-endpoint"));
-    String key = PathFixture.key();
+    EngineStandin engine = path.engine(first.headers().get("x-endpoint"));
+    String key = PathFixture.newKey();
 
-    CompletableFuture<HttpReply> answer =
-        path.complete(0, adapter, "booking", LONG, PathFixture.once(key));
+    CompletableFuture<HttpReply> pending =
+        path.complete(
+            0, adapter, "booking", LONG_RESPONSE_TOKENS, PathFixture.nonRepeatableHeaders(key));
     awaitRunning(engine);
     engine.restart();
 
-    HttpReply reply = answer.join();
-    assertNotEquals(200, reply.status());
-    assertEquals("unknown", PathFixture.outcome(reply));
-    HttpReply again = path.complete(1, adapter, "booking", LONG, PathFixture.once(key)).join();
+    HttpReply response = pending.join();
+    assertNotEquals(200, response.status());
+    assertEquals("unknown", PathFixture.outcome(response));
+    HttpReply again =
+        path.complete(
+                1, adapter, "booking", LONG_RESPONSE_TOKENS, PathFixture.nonRepeatableHeaders(key))
+            .join();
     assertNotEquals(200, again.status());
     assertNotEquals("not-run", PathFixture.outcome(again));
     assertEquals(1, path.runsOfKey(key));
   }
 
   /**
-   * The table service is down. Requests that may be repeated go on; one that must run at most once
-   * is refused as not run, because nothing could keep a second send from running.
+   * The table service is down. Repeatable requests must succeed; a non-repeatable one must be
+   * refused as not run, because without a claim nothing prevents a second run.
    */
   @Test
   void withTheTableDownOnlyNonRepeatableRequestsAreRefused() {
-    path.deployment().platform().faults(PlatformFaults.REFUSING);
+    path.deployment().platform().setFaults(PlatformFaults.REFUSING);
     AdapterRef adapter = PathFixture.adapter(1);
-    String key = PathFixture.key();
+    String key = PathFixture.newKey();
 
     assertEquals(200, path.complete(0, adapter, "roster", 4).join().status());
-    HttpReply refused = path.complete(0, adapter, "booking", 4, PathFixture.once(key)).join();
+    HttpReply refused =
+        path.complete(0, adapter, "booking", 4, PathFixture.nonRepeatableHeaders(key)).join();
     assertEquals(503, refused.status());
     assertEquals("claim-unavailable", PathFixture.errorType(refused));
     assertEquals("not-run", PathFixture.outcome(refused));
     assertEquals(0, path.runsOfKey(key));
 
-    path.deployment().platform().faults(PlatformFaults.NONE);
+    path.deployment().platform().setFaults(PlatformFaults.NONE);
     assertEquals(
-        200, path.complete(0, adapter, "booking", 4, PathFixture.once(key)).join().status());
+        200,
+        path.complete(0, adapter, "booking", 4, PathFixture.nonRepeatableHeaders(key))
+            .join()
+            .status());
     assertEquals(1, path.runsOfKey(key));
   }
 
   /**
-   * The answer of the table to a claim's insert is lost after the write took effect. The entry
-   * reads its own token back and runs the request, once.
+   * The table's response to the insert of a claim is lost after the write took effect. The entry
+   * must recognise its own token when it reads the claim back, and run the request once.
    */
   @Test
-  void lostAnswersToClaimsRunTheRequestOnce() {
+  void lostResponseToClaimRunsRequestOnce() {
     AdapterRef adapter = PathFixture.adapter(1);
     path.complete(0, adapter, "warm", 4).join();
-    path.deployment().platform().faults(PlatformFaults.losing(1));
-    String key = PathFixture.key();
+    path.deployment().platform().setFaults(PlatformFaults.losingResponses(1));
+    String key = PathFixture.newKey();
 
-    HttpReply reply = path.complete(0, adapter, "booking", 4, PathFixture.once(key)).join();
+    HttpReply response =
+        path.complete(0, adapter, "booking", 4, PathFixture.nonRepeatableHeaders(key)).join();
 
-    assertEquals(200, reply.status());
+    assertEquals(200, response.status());
     assertEquals(1, path.runsOfKey(key));
   }
 
   /**
-   * An agent is told to drain while it runs a long answer. The answer must arrive whole, and no new
+   * An agent is drained while it runs a long request. The response must be complete, and no new
    * request may reach the agent's endpoint from then on.
    */
   @Test
-  void drainingAgentsFinishTheirWorkAndGetNoneAnew() {
+  void drainingAgentCompletesItsRequestsAndGetsNoNewOnes() {
     AdapterRef adapter = PathFixture.adapter(1);
     HttpReply first = path.complete(0, adapter, "warm", 4).join();
     String endpoint = first.headers().get("x-endpoint");
     AgentDaemon agent = path.deployment().agents().get(new EndpointId(endpoint));
 
-    final CompletableFuture<HttpReply> answer = path.complete(0, adapter, "roster", LONG);
-    awaitRunning(path.engineOf(endpoint));
+    final CompletableFuture<HttpReply> response =
+        path.complete(0, adapter, "roster", LONG_RESPONSE_TOKENS);
+    awaitRunning(path.engine(endpoint));
     int before = path.entry(0).routedEndpoints();
     agent.drain();
     PathFixture.await(() -> path.entry(0).routedEndpoints() == before - 1);
@@ -185,51 +202,59 @@
       assertEquals(200, later.status());
       assertNotEquals(endpoint, later.headers().get("x-endpoint"));
     }
-    assertEquals(PathFixture.expected(adapter, "roster", LONG), PathFixture.text(answer.join()));
+    assertEquals(
+        PathFixture.expected(adapter, "roster", LONG_RESPONSE_TOKENS),
+        PathFixture.text(response.join()));
   }
 
-  /** An entry is stopped while it streams; the answer arrives whole before the process ends. */
+  /**
+   * An entry is stopped while a request is in flight; the response must be complete before the
+   * entry ends.
+   */
   @Test
-  void stoppingEntriesCutNothing() throws InterruptedException {
+  void stoppingEntryCompletesItsRequests() throws InterruptedException {
     AdapterRef adapter = PathFixture.adapter(1);
     HttpReply first = path.complete(0, adapter, "warm", 4).join();
-    CompletableFuture<HttpReply> answer = path.complete(0, adapter, "roster", LONG);
-    awaitRunning(path.engineOf(first.headers().get("x-endpoint")));
+    CompletableFuture<HttpReply> response =
+        path.complete(0, adapter, "roster", LONG_RESPONSE_TOKENS);
+    awaitRunning(path.engine(first.headers().get("x-endpoint")));
 
     path.entry(0).stop();
 
-    assertEquals(PathFixture.expected(adapter, "roster", LONG), PathFixture.text(answer.join()));
+    assertEquals(
+        PathFixture.expected(adapter, "roster", LONG_RESPONSE_TOKENS),
+        PathFixture.text(response.join()));
   }
 
   /**
-   * One request crashes each engine that runs it, and its caller sends it again and again, through
-   * both entries. Two engines may be lost to it; then it is refused with a type.
+   * A request crashes each engine that runs it, and its caller keeps sending it through both
+   * entries. It may crash at most two engines; then it must be refused as quarantined.
    */
   @Test
   void requestsThatCrashEnginesAreQuarantined() {
     AdapterRef adapter = PathFixture.adapter(1);
     path.complete(0, adapter, "warm", 4).join();
-    String crashing = "x " + org.hornbeamusher.standin.ExpectedAnswer.CRASH_MARK;
+    String crashing = "x " + org.hornbeamusher.standin.ExpectedResponse.CRASH_MARK;
 
     String last = "";
     for (int i = 0; i < 12; i++) {
-      HttpReply reply = path.complete(i % 2, adapter, crashing, 4).join();
-      assertNotEquals(200, reply.status());
-      last = PathFixture.errorType(reply);
+      HttpReply response = path.complete(i % 2, adapter, crashing, 4).join();
+      assertNotEquals(200, response.status());
+      last = PathFixture.errorType(response);
       PathFixture.pause(100);
     }
 
     assertEquals("quarantined", last);
-    assertTrue(path.restarts() <= 2, "engines lost: " + path.restarts());
+    assertTrue(path.restarts() <= 2, "engine restarts: " + path.restarts());
   }
 
   /**
-   * An agent was paused for so long that it was replaced; its successor gave the engine an order
-   * with a higher number. On waking up the old agent still believes in its own. The engine refuses
-   * its next order, it leaves, and the caller is answered by another endpoint.
+   * An agent was paused for so long that it was superseded, and its successor sent the engine an
+   * order with a higher fencing number. When the old agent resumes, the engine refuses its next
+   * order. The agent must drain, and requests must be served by another endpoint.
    */
   @Test
-  void agentsThatWereReplacedLeave() {
+  void supersededAgentDrains() {
     int before = path.entry(0).routedEndpoints();
     for (EngineStandin engine : path.deployment().engines().values()) {
       path.order(engine, "/orders/role", "{\"role\":\"both\",\"fencing\":1000}");
@@ -237,34 +262,37 @@
     }
 
     for (int i = 0; i < 8; i++) {
-      HttpReply reply = path.complete(0, PathFixture.adapter(i), "roster", 4).join();
-      assertEquals(200, reply.status(), PathFixture.json(reply).toString());
+      HttpReply response = path.complete(0, PathFixture.adapter(i), "roster", 4).join();
+      assertEquals(200, response.status(), PathFixture.json(response).toString());
     }
     PathFixture.await(() -> path.entry(0).routedEndpoints() == before - 1);
   }
 
-  /** Loads fail for a while; requests are answered or refused with a type, never lost. */
+  /**
+   * The next load of each engine fails; the request must get its response or a typed refusal, and
+   * later requests must succeed.
+   */
   @Test
-  void failedLoadsAreAnsweredElsewhereOrRefused() {
+  void requestAfterFailedLoadIsServedOrRefused() {
     path.deployment().engines().values().forEach(engine -> engine.failNextLoads(1));
     AdapterRef adapter = PathFixture.adapter(5);
 
-    HttpReply reply = path.complete(0, adapter, "roster", 4).join();
+    HttpReply response = path.complete(0, adapter, "roster", 4).join();
 
-    if (reply.status() == 200) {
-      assertEquals(PathFixture.expected(adapter, "roster", 4), PathFixture.text(reply));
+    if (response.status() == 200) {
+      assertEquals(PathFixture.expected(adapter, "roster", 4), PathFixture.text(response));
     } else {
-      assertEquals("not-run", PathFixture.outcome(reply), PathFixture.json(reply).toString());
+      assertEquals("not-run", PathFixture.outcome(response), PathFixture.json(response).toString());
     }
     PathFixture.await(() -> path.complete(0, adapter, "later", 4).join().status() == 200);
   }
 
   /**
-   * A team submits a new version of its document. Every entry serves by it within seconds, and a
-   * caller that names the new adapter version is served.
+   * A new document version is submitted. It must become current in every entry and agent, and
+   * requests must then use the new adapter version.
    */
   @Test
-  void acceptedDocumentsAreInForceEverywhere() {
+  void acceptedDocumentBecomesCurrentEverywhere() {
     String text =
         path.deployment()
             .documentText(PathFixture.PLAN)
@@ -283,44 +311,44 @@
       PathFixture.await(
           () -> documents.current(PathFixture.PLAN.model()).orElseThrow().version() == version);
     }
-    HttpReply reply =
+    HttpReply response =
         path.post(
                 0,
                 "/v1/completions",
                 "{\"model\":\"lm-dispatch/a-0\",\"prompt\":\"p\",\"max_tokens\":2}",
                 Map.of())
             .join();
-    assertEquals("lm-dispatch/a-0@2", reply.headers().get("x-adapter"));
+    assertEquals("lm-dispatch/a-0@2", response.headers().get("x-adapter"));
   }
 
-  /** A caller goes away in the middle of a stream; the engine is told to stop running it. */
+  /** A caller disconnects in mid-stream; the request must be cancelled at the engine. */
   @Test
   void abandonedStreamsAreCancelledAtTheEngine() {
     AdapterRef adapter = PathFixture.adapter(1);
     HttpReply first = path.complete(0, adapter, "warm", 4).join();
-    EngineStandin engine = path.engineOf(first.headers().get("x-endpoint"));
-    StreamedReply reply = new StreamedReply();
+    EngineStandin engine = path.engine(first.headers().get("x-endpoint"));
+    StreamedResponseRecorder recorder = new StreamedResponseRecorder();
     var stream =
         path.client().stream(
-            StreamedReply.call(
+            StreamedResponseRecorder.call(
                 path.entry(0).uri(), PathFixture.completion(adapter, "x", 4_000, true)),
-            reply);
-    PathFixture.await(() -> reply.text().contains("data: "));
+            recorder);
+    PathFixture.await(() -> recorder.text().contains("data: "));
 
     stream.cancel();
 
-    PathFixture.await(() -> path.running(engine) == 0);
-    assertTrue(engine.counts().tokens() < 4_000, "ran on: " + engine.counts().tokens());
+    PathFixture.await(() -> path.runningRequests(engine) == 0);
+    assertTrue(engine.counts().tokens() < 4_000, "tokens generated: " + engine.counts().tokens());
   }
 
-  private static HttpReply resentUntilEnded(
+  private static HttpReply resendUntilEnded(
       java.util.function.Supplier<CompletableFuture<HttpReply>> send) {
-    HttpReply reply = send.get().join();
-    for (int i = 0; i < 200 && PathFixture.errorType(reply).equals("claim-in-progress"); i++) {
+    HttpReply response = send.get().join();
+    for (int i = 0; i < 200 && PathFixture.errorType(response).equals("claim-in-progress"); i++) {
       PathFixture.pause(20);
-      reply = send.get().join();
+      response = send.get().join();
     }
-    return reply;
+    return response;
   }
 
   private static void awaitRunning(EngineStandin engine) {
--- a/tool/src/test/java/org/hornbeamusher/path/PathFixture.java
+++ b/tool/src/test/java/org/hornbeamusher/path/PathFixture.java
@@ -30,9 +30,9 @@
 import org.hornbeamusher.ids.TimeOrderedUuid;
 import org.hornbeamusher.standin.EngineSettings;
 import org.hornbeamusher.standin.EngineStandin;
-import org.hornbeamusher.standin.ExpectedAnswer;
+import org.hornbeamusher.standin.ExpectedResponse;
 
-/** One partner with two zones and two engines, and a caller's side of it. */
+/** A deployment of one partner with two zones and two engines, and methods to call it. */
 final class PathFixture implements AutoCloseable {
 
   static final PartnerPlan PLAN =
@@ -51,9 +51,9 @@
   private static final int SLOTS = 4;
   private static final int BATCH = 4;
   private static final long TOKEN_MICROS = 2_000;
-  private static final long CALL_MILLIS = 60_000;
-  private static final long AWAIT_STEPS = 3_000;
-  private static final long AWAIT_STEP_MILLIS = 10;
+  private static final long CALL_TIMEOUT_MILLIS = 60_000;
+  private static final long AWAIT_POLLS = 3_000;
+  private static final long AWAIT_POLL_MILLIS = 10;
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final Deployment deployment;
@@ -90,16 +90,20 @@
     return new AdapterRef(PLAN.model(), new AdapterName("a-" + number), 1);
   }
 
-  /** Waits until every endpoint takes work through an entry; nothing asserts how long it takes. */
+  /**
+   * Waits until an entry can route to every endpoint; tests make no assertion about the time that
+   * takes.
+   */
   private void awaitReady(int entry) {
     await(() -> entry(entry).routedEndpoints() == deployment.agents().size());
   }
 
   static void await(BooleanSupplier condition) {
-    for (int i = 0; i < AWAIT_STEPS && !condition.getAsBoolean(); i++) {
-      pause(AWAIT_STEP_MILLIS);
+    for (int i = 0; i < AWAIT_POLLS && !condition.getAsBoolean(); i++) {
+      pause(AWAIT_POLL_MILLIS);
     }
-    org.junit.jupiter.api.Assertions.assertTrue(condition.getAsBoolean(), "never came true");
+    org.junit.jupiter.api.Assertions.assertTrue(
+        condition.getAsBoolean(), "condition not met in time");
   }
 
   static void pause(long millis) {
@@ -141,43 +145,43 @@
   }
 
   CompletableFuture<HttpReply> send(HttpCall call) {
-    return client.send(call, CALL_MILLIS);
+    return client.send(call, CALL_TIMEOUT_MILLIS);
   }
 
   HttpClient client() {
     return client;
   }
 
-  static JsonNode json(HttpReply reply) {
+  static JsonNode json(HttpReply response) {
     try {
-      return JSON.readTree(reply.body());
+      return JSON.readTree(response.body());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  static String text(HttpReply reply) {
-    return json(reply).path("choices").path(0).path("text").asText();
+  static String text(HttpReply response) {
+    return json(response).path("choices").path(0).path("text").asText();
   }
 
-  static String errorType(HttpReply reply) {
-    return json(reply).path("error").path("type").asText();
+  static String errorType(HttpReply response) {
+    return json(response).path("error").path("type").asText();
   }
 
-  static String outcome(HttpReply reply) {
-    return json(reply).path("error").path("outcome").asText();
+  static String outcome(HttpReply response) {
+    return json(response).path("error").path("outcome").asText();
   }
 
   static String expected(AdapterRef adapter, String prompt, int tokens) {
-    return new ExpectedAnswer(adapter, prompt, tokens).text();
+    return new ExpectedResponse(adapter, prompt, tokens).text();
   }
 
-  /** Returns a fresh key of the form claims ask for, a UUID of version 7. */
-  static String key() {
+  /** Returns a new idempotency key in the required form, a UUID of version 7. */
+  static String newKey() {
     return TimeOrderedUuid.of(SystemClock.INSTANCE.millis(), new SecureRandom()).toString();
   }
 
-  static Map<String, String> once(String key) {
+  static Map<String, String> nonRepeatableHeaders(String key) {
     return Map.of("X-Repeatable", "false", "Idempotency-Key", key);
   }
 
@@ -187,16 +191,19 @@
         .sum();
   }
 
-  int running(EngineStandin engine) {
-    HttpReply state = client.send(HttpCall.get(engine.uri().resolve("/state")), CALL_MILLIS).join();
+  int runningRequests(EngineStandin engine) {
+    HttpReply state =
+        client.send(HttpCall.get(engine.uri().resolve("/state")), CALL_TIMEOUT_MILLIS).join();
     return json(state).path("running").asInt();
   }
 
   void order(EngineStandin engine, String target, String json) {
     byte[] body = json.getBytes(StandardCharsets.UTF_8);
-    HttpReply reply =
-        client.send(HttpCall.postJson(engine.uri().resolve(target), body), CALL_MILLIS).join();
-    org.junit.jupiter.api.Assertions.assertEquals(200, reply.status());
+    HttpReply response =
+        client
+            .send(HttpCall.postJson(engine.uri().resolve(target), body), CALL_TIMEOUT_MILLIS)
+            .join();
+    org.junit.jupiter.api.Assertions.assertEquals(200, response.status());
   }
 
   long restarts() {
@@ -211,7 +218,7 @@
         .sum();
   }
 
-  EngineStandin engineOf(String endpoint) {
+  EngineStandin engine(String endpoint) {
     return deployment.engines().get(new org.hornbeamusher.ids.EndpointId(endpoint));
   }
 }
--- a/tool/src/test/java/org/hornbeamusher/path/RefusedRepeatTest.java
+++ b/tool/src/test/java/org/hornbeamusher/path/RefusedRetryTest.java
@@ -8,15 +8,18 @@
 import org.hornbeamusher.standin.EngineStandin;
 import org.junit.jupiter.api.Test;
 
-/** What a caller is told when its request broke off and nothing can take the repeat. */
-class RefusedRepeatTest {
+/**
+ * The reported outcome of a request whose response was truncated and that no endpoint can retry.
+ */
+class RefusedRetryTest {
 
   /**
-   * One endpoint is left and its engine breaks off an answer after some tokens. The repeat finds no
-   * other endpoint and is refused. The caller was told that its request did not run; it did.
+   * The engine of the only remaining endpoint closes the connection after some tokens, and the
+   * retry is refused because there is no other endpoint. Guards against reporting the refusal's
+   * outcome, not-run, although the request has run.
    */
   @Test
-  void answerThatBrokeOffIsNotSaidToBeNotRunWhenTheRepeatIsRefused() throws Exception {
+  void truncatedResponseIsNotReportedAsNotRunWhenRetryIsRefused() throws Exception {
     try (PathFixture path = new PathFixture()) {
       AdapterRef adapter = PathFixture.adapter(1);
       HttpReply first = path.complete(0, adapter, "warm", 4).join();
@@ -30,11 +33,11 @@
                 }
               });
       PathFixture.await(() -> path.entry(0).routedEndpoints() <= 1);
-      EngineStandin engine = path.engineOf(left.value());
+      EngineStandin engine = path.engine(left.value());
       engine.cutNextAfter(3);
-      HttpReply reply = path.complete(0, adapter, "roster", 40).join();
-      assertEquals("unknown", PathFixture.outcome(reply));
-      assertEquals(502, reply.status());
+      HttpReply response = path.complete(0, adapter, "roster", 40).join();
+      assertEquals("unknown", PathFixture.outcome(response));
+      assertEquals(502, response.status());
     }
   }
 }
--- a/tool/src/test/java/org/hornbeamusher/path/AnswersTest.java
+++ b/tool/src/test/java/org/hornbeamusher/path/ResponsesTest.java
@@ -22,8 +22,11 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** What callers receive from real daemons over loopback when nothing fails but the caller. */
-class AnswersTest {
+/**
+ * Responses of real daemons over loopback without faults of the system, including those to invalid
+ * requests.
+ */
+class ResponsesTest {
 
   private static final int TOKENS = 8;
   private static PathFixture path;
@@ -39,36 +42,36 @@
   }
 
   @Test
-  void wholeAnswersNameWhatRan() {
+  void completeResponseNamesAdapterAndEndpoint() {
     AdapterRef adapter = PathFixture.adapter(1);
-    HttpReply reply = path.complete(0, adapter, "roster", TOKENS).join();
-
-    assertEquals(200, reply.status());
-    assertEquals(PathFixture.expected(adapter, "roster", TOKENS), PathFixture.text(reply));
-    assertEquals(adapter.toString(), reply.headers().get("x-adapter"));
-    assertEquals(adapter.toString(), PathFixture.json(reply).path("model").asText());
-    assertTrue(reply.headers().get("x-endpoint").startsWith("lm-dispatch-"));
-    assertTrue(Long.parseLong(reply.headers().get("x-load-stall-ms")) >= 0);
-    assertEquals(36, reply.headers().get("x-request-id").length());
+    HttpReply response = path.complete(0, adapter, "roster", TOKENS).join();
+
+    assertEquals(200, response.status());
+    assertEquals(PathFixture.expected(adapter, "roster", TOKENS), PathFixture.text(response));
+    assertEquals(adapter.toString(), response.headers().get("x-adapter"));
+    assertEquals(adapter.toString(), PathFixture.json(response).path("model").asText());
+    assertTrue(response.headers().get("x-endpoint").startsWith("lm-dispatch-"));
+    assertTrue(Long.parseLong(response.headers().get("x-load-stall-ms")) >= 0);
+    assertEquals(36, response.headers().get("x-request-id").length());
   }
 
   @Test
-  void modelsWithoutVersionAreTheCurrentOne() {
+  void modelWithoutVersionIsTheCurrentOne() {
     String body = "{\"model\":\"lm-dispatch/a-2\",\"prompt\":\"p\",\"max_tokens\":4}";
-    HttpReply reply = path.post(0, "/v1/completions", body, Map.of()).join();
+    HttpReply response = path.post(0, "/v1/completions", body, Map.of()).join();
 
-    assertEquals("lm-dispatch/a-2@1", reply.headers().get("x-adapter"));
-    assertEquals(PathFixture.expected(PathFixture.adapter(2), "p", 4), PathFixture.text(reply));
+    assertEquals("lm-dispatch/a-2@1", response.headers().get("x-adapter"));
+    assertEquals(PathFixture.expected(PathFixture.adapter(2), "p", 4), PathFixture.text(response));
   }
 
   @Test
-  void streamedAnswersEndInTheirMark() {
+  void streamedResponseEndsWithDoneMark() {
     AdapterRef adapter = PathFixture.adapter(1);
     String body = PathFixture.completion(adapter, "roster", TOKENS, true);
-    HttpReply reply = path.post(0, "/v1/completions", body, Map.of()).join();
+    HttpReply response = path.post(0, "/v1/completions", body, Map.of()).join();
 
-    assertEquals("text/event-stream", reply.headers().get("content-type"));
-    String events = new String(reply.body(), StandardCharsets.UTF_8);
+    assertEquals("text/event-stream", response.headers().get("content-type"));
+    String events = new String(response.body(), StandardCharsets.UTF_8);
     assertTrue(events.endsWith("data: [DONE]\n\n"), events);
     assertEquals(TOKENS + 2, events.split("data: ", -1).length - 1);
   }
@@ -78,15 +81,20 @@
     String body =
         "{\"model\":\"lm-dispatch/a-1@1\",\"max_tokens\":4,"
             + "\"messages\":[{\"role\":\"user\",\"content\":\"where to unload\"}]}";
-    HttpReply reply = path.post(1, "/v1/chat/completions", body, Map.of()).join();
+    HttpReply response = path.post(1, "/v1/chat/completions", body, Map.of()).join();
 
     assertEquals(
         PathFixture.expected(PathFixture.adapter(1), "user: where to unload\nassistant:", 4),
-        PathFixture.json(reply).path("choices").path(0).path("message").path("content").asText());
+        PathFixture.json(response)
+            .path("choices")
+            .path(0)
+            .path("message")
+            .path("content")
+            .asText());
   }
 
   @Test
-  void manyAdaptersAtOnceGetTheirOwnAnswers() {
+  void concurrentRequestsGetResponsesOfTheirAdapters() {
     List<CompletableFuture<?>> all = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       AdapterRef adapter = PathFixture.adapter(i % 6);
@@ -94,16 +102,17 @@
       all.add(
           path.complete(i % 2, adapter, prompt, TOKENS)
               .thenAccept(
-                  reply ->
+                  response ->
                       assertEquals(
-                          PathFixture.expected(adapter, prompt, TOKENS), PathFixture.text(reply))));
+                          PathFixture.expected(adapter, prompt, TOKENS),
+                          PathFixture.text(response))));
     }
     CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).join();
     assertEquals(0, path.unloadsInUse());
   }
 
   @Test
-  void badInputFailsTypedAndWasNotRun() {
+  void invalidRequestsAreRefusedWithTypeAndNotRun() {
     check(400, "malformed-request", "/v1/completions", "{", Map.of());
     check(400, "malformed-request", "/v1/completions", "[]", Map.of());
     check(400, "malformed-request", "/v1/completions", "{\"model\":1}", Map.of());
@@ -135,13 +144,13 @@
   @Test
   void bodiesThatAreTooLongAreRefused() {
     String body = model("lm-dispatch/a-1@1").replace("p", "p".repeat(2_000_000));
-    HttpReply reply = path.post(0, "/v1/completions", body, Map.of()).join();
-    assertEquals(413, reply.status());
+    HttpReply response = path.post(0, "/v1/completions", body, Map.of()).join();
+    assertEquals(413, response.status());
   }
 
   @Test
   void modelsAreListedForTheirOwnPartner() {
-    HttpReply reply =
+    HttpReply response =
         path.send(
                 new HttpCall(
                     "GET",
@@ -152,25 +161,25 @@
                             + org.hornbeamusher.demo.Deployment.callerToken(PathFixture.PLAN)),
                     new byte[0]))
             .join();
-    assertEquals(40, PathFixture.json(reply).path("data").size());
+    assertEquals(40, PathFixture.json(response).path("data").size());
   }
 
   /**
-   * Something that is no entry connects to an agent and sends garbage: random bytes, a length far
-   * beyond any frame, half a frame. The agent must drop that connection, and a caller served
-   * through the same agent at that moment notices nothing.
+   * Something other than an entry connects to an agent and sends invalid data: random bytes, a
+   * length far beyond that of any frame, or an incomplete frame. The agent must drop that
+   * connection without affecting a request that it is serving at the time.
    */
   @Test
-  void garbageOnAnAgentsPortDisturbsNobody() throws IOException {
+  void invalidDataOnAgentPortDoesNotAffectRequests() throws IOException {
     Random random = new Random(4711);
     AdapterRef adapter = PathFixture.adapter(3);
-    CompletableFuture<HttpReply> answer = path.complete(0, adapter, "long", 200);
+    CompletableFuture<HttpReply> response = path.complete(0, adapter, "long", 200);
     for (AgentDaemon agent : path.deployment().agents().values()) {
       for (int i = 0; i < 20; i++) {
         sendGarbage(agent.address(), random);
       }
     }
-    assertEquals(PathFixture.expected(adapter, "long", 200), PathFixture.text(answer.join()));
+    assertEquals(PathFixture.expected(adapter, "long", 200), PathFixture.text(response.join()));
   }
 
   private static void sendGarbage(InetSocketAddress address, Random random) throws IOException {
@@ -192,9 +201,9 @@
 
   private static void check(
       int status, String type, String target, String body, Map<String, String> headers) {
-    HttpReply reply = path.post(0, target, body, headers).join();
-    assertEquals(type, PathFixture.errorType(reply), body);
-    assertEquals(status, reply.status(), body);
-    assertEquals("not-run", PathFixture.outcome(reply), body);
+    HttpReply response = path.post(0, target, body, headers).join();
+    assertEquals(type, PathFixture.errorType(response), body);
+    assertEquals(status, response.status(), body);
+    assertEquals("not-run", PathFixture.outcome(response), body);
   }
 }
--- a/tool/src/test/java/org/hornbeamusher/path/StreamedReply.java
+++ b/tool/src/test/java/org/hornbeamusher/path/StreamedResponseRecorder.java
@@ -9,12 +9,12 @@
 import org.hornbeamusher.http.HttpHead;
 import org.hornbeamusher.http.HttpStreamListener;
 
-/** What a caller has received of a stream so far. */
-final class StreamedReply implements HttpStreamListener {
+/** Records what a caller has received of a streamed response so far. */
+final class StreamedResponseRecorder implements HttpStreamListener {
 
   private final ByteArrayOutputStream received = new ByteArrayOutputStream();
   private boolean ended;
-  private boolean cut;
+  private boolean truncated;
 
   static HttpCall call(URI entry, String body) {
     return new HttpCall(
@@ -36,8 +36,8 @@
     return ended;
   }
 
-  synchronized boolean isCut() {
-    return cut;
+  synchronized boolean isTruncated() {
+    return truncated;
   }
 
   @Override
@@ -56,6 +56,6 @@
   @Override
   public synchronized void failed(Throwable failure) {
     ended = true;
-    cut = true;
+    truncated = true;
   }
 }
--- a/tool/src/test/java/org/hornbeamusher/standin/EngineCoreTest.java
+++ b/tool/src/test/java/org/hornbeamusher/standin/EngineCoreTest.java
@@ -22,154 +22,165 @@
   private final EngineCore core = new EngineCore(settings, new PrefixCache(100, events));
 
   @Test
-  void loadedAdapterAnswersWhatIsExpected() {
+  void residentAdapterGeneratesExpectedResponse() {
     load(A);
-    Sink sink = new Sink();
-    assertEquals(EngineReply.DONE, start("r1", A, "price", 3, 0, sink));
+    RecordingSink sink = new RecordingSink();
+    assertEquals(EngineResult.DONE, start("r1", A, "price", 3, 0, sink));
     runSteps(4);
-    assertEquals(new ExpectedAnswer(A, "price", 3).text() + "length/2/3", sink.heard.toString());
+    assertEquals(
+        new ExpectedResponse(A, "price", 3).text() + "length/2/3", sink.received.toString());
   }
 
   @Test
-  void answersOfTwoAdaptersDifferInEveryToken() {
-    ExpectedAnswer a = new ExpectedAnswer(A, "price", 20);
-    ExpectedAnswer b = new ExpectedAnswer(B, "price", 20);
+  void responsesOfTwoAdaptersDifferInEveryToken() {
+    ExpectedResponse a = new ExpectedResponse(A, "price", 20);
+    ExpectedResponse b = new ExpectedResponse(B, "price", 20);
     for (int i = 0; i < 20; i++) {
       assertFalse(a.token(i).equals(b.token(i)));
     }
   }
 
   @Test
-  void stopMarkEndsTheAnswerEarly() {
-    ExpectedAnswer answer = new ExpectedAnswer(A, "price [stop 5]", 20);
-    assertEquals(5, answer.tokens());
-    assertEquals("stop", answer.finishReason());
+  void stopMarkEndsTheResponseEarly() {
+    ExpectedResponse expected = new ExpectedResponse(A, "price [stop 5]", 20);
+    assertEquals(5, expected.tokenCount());
+    assertEquals("stop", expected.finishReason());
   }
 
   @Test
   void anAdapterThatIsNotResidentIsRefused() {
-    assertEquals(EngineReply.NOT_RESIDENT, start("r1", A, "price", 3, 0, new Sink()));
+    assertEquals(EngineResult.NOT_RESIDENT, start("r1", A, "price", 3, 0, new RecordingSink()));
     assertEquals(1, core.counts().notResident());
   }
 
   @Test
   void fullBatchIsRefused() {
     load(A);
-    assertEquals(EngineReply.DONE, start("r1", A, "price", 3, 0, new Sink()));
-    assertEquals(EngineReply.DONE, start("r2", A, "price", 3, 0, new Sink()));
-    assertEquals(EngineReply.BATCH_FULL, start("r3", A, "price", 3, 0, new Sink()));
+    assertEquals(EngineResult.DONE, start("r1", A, "price", 3, 0, new RecordingSink()));
+    assertEquals(EngineResult.DONE, start("r2", A, "price", 3, 0, new RecordingSink()));
+    assertEquals(EngineResult.BATCH_FULL, start("r3", A, "price", 3, 0, new RecordingSink()));
   }
 
   @Test
-  void slotsBoundResidentAndLoadingAdaptersTogether() {
+  void slotsLimitResidentAndLoadingAdaptersTogether() {
     load(A);
     assertNull(core.beginLoad(B, new CompletableFuture<>()));
-    assertEquals(EngineReply.NO_FREE_SLOT, core.beginLoad(C, new CompletableFuture<>()));
+    assertEquals(EngineResult.NO_FREE_SLOT, core.beginLoad(C, new CompletableFuture<>()));
     core.unload(A);
     assertNull(core.beginLoad(C, new CompletableFuture<>()));
   }
 
-  /** An agent was paused past its lease and orders with its old number when it wakes. */
+  /** A paused agent was superseded and sends orders with its old fencing number when it resumes. */
   @Test
   void anOldFencingNumberIsRefusedUntilRestart() {
-    assertFalse(core.stale(7));
-    assertTrue(core.stale(6));
-    assertFalse(core.stale(7));
+    assertFalse(core.checkStale(7));
+    assertTrue(core.checkStale(6));
+    assertFalse(core.checkStale(7));
     core.restart();
-    assertFalse(core.stale(6));
+    assertFalse(core.checkStale(6));
     assertEquals(1, core.counts().staleOrders());
   }
 
-  /** Some deployments' engines do not look at the number; a late order takes effect there. */
+  /** Engines of some deployments ignore fencing numbers; a stale order takes effect there. */
   @Test
   void anEngineWithoutFencingTakesAnyNumber() {
     EngineCore open = new EngineCore(settings.withFencing(false), new PrefixCache(100, events));
-    assertFalse(open.stale(7));
-    assertFalse(open.stale(6));
+    assertFalse(open.checkStale(7));
+    assertFalse(open.checkStale(6));
   }
 
-  /** A load that fails leaves its slot free; the request that waited for it sees a refusal. */
+  /** A load that fails frees its slot and is reported as failed. */
   @Test
   void failedLoadFreesItsSlot() {
     core.failNextLoads(1);
-    CompletableFuture<EngineReply> reply = new CompletableFuture<>();
-    core.beginLoad(A, reply);
-    core.loadEnded(A, reply, true);
-    assertEquals(EngineReply.LOAD_FAILED, reply.join());
+    CompletableFuture<EngineResult> result = new CompletableFuture<>();
+    core.beginLoad(A, result);
+    core.loadEnded(A, result, true);
+    assertEquals(EngineResult.LOAD_FAILED, result.join());
     load(A);
     load(B);
   }
 
-  /** An agent that evicts an adapter in use cuts off the request; the count betrays it. */
+  /**
+   * Unloading an adapter in use ends its requests; the counter must reveal such a fault of an
+   * agent.
+   */
   @Test
   void unloadingAnAdapterInUseIsCountedAndEndsItsRequests() {
     load(A);
-    Sink sink = new Sink();
+    RecordingSink sink = new RecordingSink();
     start("r1", A, "price", 9, 0, sink);
     core.step();
     core.unload(A);
     assertEquals(1, core.counts().unloadsInUse());
-    assertTrue(sink.heard.toString().endsWith("failed adapter-evicted"));
+    assertTrue(sink.received.toString().endsWith("failed adapter-evicted"));
   }
 
-  /** A marked request takes down the engine, and with it every answer that was under way. */
+  /** A request with the crash mark crashes the engine and aborts every other running request. */
   @Test
   void crashMarkCrashesTheEngine() {
     load(A);
-    Sink bystander = new Sink();
+    RecordingSink bystander = new RecordingSink();
     start("r1", A, "price", 9, 0, bystander);
     assertFalse(core.step());
-    start("r2", A, "price [crash]", 9, 0, new Sink());
+    start("r2", A, "price [crash]", 9, 0, new RecordingSink());
     assertTrue(core.step());
     core.restart();
-    assertTrue(bystander.heard.toString().endsWith("cut"));
+    assertTrue(bystander.received.toString().endsWith("cut"));
     assertEquals(List.of(), core.state("i").resident());
   }
 
-  /** A load order that was under way when the engine restarted must not fill a slot of the new. */
+  /**
+   * A load in progress during a restart must not make its adapter resident in the restarted engine.
+   */
   @Test
   void loadFromBeforeRestartHasNoEffect() {
-    CompletableFuture<EngineReply> reply = new CompletableFuture<>();
-    core.beginLoad(A, reply);
+    CompletableFuture<EngineResult> result = new CompletableFuture<>();
+    core.beginLoad(A, result);
     core.restart();
-    core.loadEnded(A, reply, true);
-    assertEquals(EngineReply.RESTARTED, reply.join());
+    core.loadEnded(A, result, true);
+    assertEquals(EngineResult.RESTARTED, result.join());
     assertEquals(List.of(), core.state("i").resident());
   }
 
-  /** A connection breaks in the middle of an answer; the rest can be had without a second run. */
+  /**
+   * A connection is closed in mid-response; the rest can be fetched without running the request
+   * again.
+   */
   @Test
-  void cutAnswerIsResumedFromAnyTokenWithoutSecondRun() {
+  void abortedResponseIsResumedFromAnyTokenWithoutSecondRun() {
     load(A);
     core.cutNextAfter(3);
-    Sink first = new Sink();
+    RecordingSink first = new RecordingSink();
     start("r1", A, "price", 6, 0, first);
     runSteps(3);
-    assertTrue(first.heard.toString().endsWith("cut"));
-    Sink second = new Sink();
-    assertEquals(EngineReply.DONE, core.resume("r1", 2, second));
+    assertTrue(first.received.toString().endsWith("cut"));
+    RecordingSink second = new RecordingSink();
+    assertEquals(EngineResult.DONE, core.resume("r1", 2, second));
     runSteps(4);
-    ExpectedAnswer answer = new ExpectedAnswer(A, "price", 6);
-    String rest = answer.token(2) + answer.token(3) + answer.token(4) + answer.token(5);
-    assertEquals(rest + "length/2/6", second.heard.toString());
+    ExpectedResponse expected = new ExpectedResponse(A, "price", 6);
+    String rest = expected.token(2) + expected.token(3) + expected.token(4) + expected.token(5);
+    assertEquals(rest + "length/2/6", second.received.toString());
     assertEquals(1, core.counts().runs().get(A.toString()));
   }
 
   @Test
-  void cancelledRequestIsNotKept() {
+  void cancelledRequestCannotBeResumed() {
     load(A);
-    start("r1", A, "price", 6, 0, new Sink());
+    start("r1", A, "price", 6, 0, new RecordingSink());
     core.cancel("r1");
-    assertTrue(core.idle());
-    assertEquals(EngineReply.NOT_KEPT, core.resume("r1", 0, new Sink()));
+    assertTrue(core.isIdle());
+    assertEquals(EngineResult.NOT_RESUMABLE, core.resume("r1", 0, new RecordingSink()));
   }
 
-  /** A marked request that is sent twice is the doubled booking that the callers fear. */
+  /**
+   * A request that runs twice under one idempotency key, such as a double booking, must be counted.
+   */
   @Test
   void secondRunOfOneIdempotencyKeyIsCounted() {
     load(A);
-    RunningRequest first = new RunningRequest("r1", A, "p", 1, 0, new Sink());
-    RunningRequest second = new RunningRequest("r2", A, "p", 1, 0, new Sink());
+    RunningRequest first = new RunningRequest("r1", A, "p", 1, 0, new RecordingSink());
+    RunningRequest second = new RunningRequest("r2", A, "p", 1, 0, new RecordingSink());
     core.start(first, "p", "key", 0);
     assertEquals(0, core.counts().repeatedRuns());
     core.start(second, "p", "key", 0);
@@ -177,29 +188,29 @@
   }
 
   @Test
-  void theHigherPriorityIsReadFirst() {
+  void promptOfHigherPriorityIsProcessedFirst() {
     load(A);
-    Sink low = new Sink();
-    Sink high = new Sink();
+    RecordingSink low = new RecordingSink();
+    RecordingSink high = new RecordingSink();
     String longPrompt = "x".repeat(4 * settings.prefillTokensPerStep());
     start("low", A, longPrompt, 1, 0, low);
     start("high", A, "y" + longPrompt.substring(1), 1, 5, high);
     core.step();
-    assertEquals("", low.heard.toString());
-    assertFalse(high.heard.isEmpty());
+    assertEquals("", low.received.toString());
+    assertFalse(high.received.isEmpty());
   }
 
   @Test
-  void sharedPromptBeginningIsReadOnce() {
+  void sharedPromptPrefixIsCached() {
     String prompt = "x".repeat(PrefixCache.BLOCK_CHARS * 3);
     PrefixCache cache = new PrefixCache(100, events);
-    assertEquals(0, cache.read(A, prompt, 0));
-    assertEquals(48, cache.read(A, prompt + "and more", 0));
-    assertEquals(0, cache.read(B, prompt, 0));
+    assertEquals(0, cache.lookUpAndStore(A, prompt, 0));
+    assertEquals(48, cache.lookUpAndStore(A, prompt + "and more", 0));
+    assertEquals(0, cache.lookUpAndStore(B, prompt, 0));
   }
 
   @Test
-  void cacheEventsComeLateAndWithGaps() {
+  void cacheEventsAreDelayedAndPartlyDropped() {
     CacheEvents gappy = new CacheEvents(300, 2);
     gappy.record("stored", A, 1, 1_000);
     gappy.record("stored", A, 2, 1_000);
@@ -211,14 +222,14 @@
   }
 
   private void load(AdapterRef adapter) {
-    CompletableFuture<EngineReply> reply = new CompletableFuture<>();
-    assertNull(core.beginLoad(adapter, reply));
-    core.loadEnded(adapter, reply, true);
-    assertEquals(EngineReply.DONE, reply.join());
+    CompletableFuture<EngineResult> result = new CompletableFuture<>();
+    assertNull(core.beginLoad(adapter, result));
+    core.loadEnded(adapter, result, true);
+    assertEquals(EngineResult.DONE, result.join());
   }
 
-  private EngineReply start(
-      String id, AdapterRef adapter, String prompt, int tokens, int priority, Sink sink) {
+  private EngineResult start(
+      String id, AdapterRef adapter, String prompt, int tokens, int priority, RecordingSink sink) {
     return core.start(
         new RunningRequest(id, adapter, prompt, tokens, priority, sink), prompt, "", 0);
   }
@@ -229,29 +240,29 @@
     }
   }
 
-  private static final class Sink implements AnswerSink {
-    final StringBuilder heard = new StringBuilder();
+  private static final class RecordingSink implements ResponseSink {
+    final StringBuilder received = new StringBuilder();
     final List<Integer> indices = new ArrayList<>();
 
     @Override
     public void token(int index, String text) {
       indices.add(index);
-      heard.append(text);
+      received.append(text);
     }
 
     @Override
     public void finished(String reason, int promptTokens, int completionTokens) {
-      heard.append(reason).append('/').append(promptTokens).append('/').append(completionTokens);
+      received.append(reason).append('/').append(promptTokens).append('/').append(completionTokens);
     }
 
     @Override
     public void failed(int status, String type) {
-      heard.append("failed ").append(type);
+      received.append("failed ").append(type);
     }
 
     @Override
-    public void cut() {
-      heard.append("cut");
+    public void abort() {
+      received.append("cut");
     }
   }
 }
--- a/tool/src/test/java/org/hornbeamusher/standin/EngineStandinTest.java
+++ b/tool/src/test/java/org/hornbeamusher/standin/EngineStandinTest.java
@@ -66,9 +66,9 @@
   }
 
   @Test
-  void answersWholeInOneObject() {
+  void unstreamedResponseIsOneObject() {
     load();
-    String text = new ExpectedAnswer(AdapterRef.parse(ADAPTER), "draft", 3).text();
+    String text = new ExpectedResponse(AdapterRef.parse(ADAPTER), "draft", 3).text();
     assertEquals(
         "{\"id\":\"r1\",\"model\":\"lm-dispatch/rosters@2\",\"choices\":[{\"index\":0,\"text\":\""
             + text
@@ -87,9 +87,12 @@
     assertEquals(409, order("unload", 4).status());
   }
 
-  /** The connection breaks in mid-answer: what came is a cut stream, not a whole answer. */
+  /**
+   * The connection is closed in mid-response: the reader must get a failure, not a complete
+   * response.
+   */
   @Test
-  void cutStreamFailsItsReader() {
+  void closedConnectionFailsTheReader() {
     load();
     engine.cutNextAfter(2);
     CompletionException failure =
@@ -102,9 +105,11 @@
     assertEquals(5, rest.split("\n\n").length);
   }
 
-  /** One request crashes the engine; it comes back empty, under a new incarnation. */
+  /**
+   * A request crashes the engine; it restarts without resident adapters, with a new incarnation.
+   */
   @Test
-  void crashMarkLosesTheAnswerAndEveryResidentAdapter() {
+  void crashMarkLosesResponseAndResidentAdapters() {
     load();
     final String before = engine.state().incarnation();
     assertThrows(CompletionException.class, () -> complete("draft [crash]", 5, true));
@@ -114,16 +119,16 @@
     assertEquals(List.of(), engine.state().resident());
   }
 
-  /** A frozen engine takes connections and answers nothing until it wakes. */
+  /** A frozen engine accepts connections but responds only after it is unfrozen. */
   @Test
-  void frozenEngineAnswersOnlyWhenItWakes() {
+  void frozenEngineRespondsOnlyWhenUnfrozen() {
     load();
     engine.freeze(true);
-    final CompletableFuture<HttpReply> answer = completion("draft", 3, false);
+    final CompletableFuture<HttpReply> response = completion("draft", 3, false);
     engine.counts();
     assertEquals(0, engine.counts().tokens());
     engine.freeze(false);
-    assertEquals(200, answer.join().status());
+    assertEquals(200, response.join().status());
   }
 
   private void load() {
@@ -164,7 +169,7 @@
     return client.send(HttpCall.get(engine.uri().resolve(path)), TIMEOUT_MILLIS).join();
   }
 
-  private static String body(HttpReply reply) {
-    return new String(reply.body(), StandardCharsets.UTF_8);
+  private static String body(HttpReply response) {
+    return new String(response.body(), StandardCharsets.UTF_8);
   }
 }
--- a/tool/src/test/java/org/hornbeamusher/standin/PlainServiceStandinTest.java
+++ b/tool/src/test/java/org/hornbeamusher/standin/PlainServiceStandinTest.java
@@ -34,17 +34,20 @@
 
   @Test
   void echoesWhatItWasSent() {
-    HttpReply reply = book("k1");
-    assertEquals(201, reply.status());
+    HttpReply response = book("k1");
+    assertEquals(201, response.status());
     assertEquals(
         "{\"service\":\"haul-api\",\"method\":\"POST\",\"path\":\"/bookings\",\"key\":\"k1\","
             + "\"execution\":1,\"body\":\"load 7\"}",
-        new String(reply.body(), StandardCharsets.UTF_8));
+        new String(response.body(), StandardCharsets.UTF_8));
     HttpCall get = HttpCall.get(service.uri().resolve("/loads/7"));
     assertEquals(200, client.send(get, TIMEOUT_MILLIS).join().status());
   }
 
-  /** Two tankers are sent to one load: the booking was executed twice under its key. */
+  /**
+   * A booking that is executed twice under its key sends two tankers to one load; it must be
+   * counted.
+   */
   @Test
   void secondExecutionOfOneKeyIsCounted() {
     book("k1");
@@ -55,19 +58,19 @@
     assertEquals(3, service.counts().executions());
   }
 
-  /** The connection closes after the booking was made; only the count tells that it was. */
+  /** The connection closes after the booking was executed; only the counter shows the execution. */
   @Test
-  void cutCallWasExecuted() {
-    service.behave(new PlainServiceStandin.Behaviour(0, 0, 1));
+  void callWithClosedConnectionWasExecuted() {
+    service.setBehaviour(new PlainServiceStandin.Behaviour(0, 0, 1));
     assertThrows(CompletionException.class, () -> book("k1"));
     assertEquals(Map.of("k1", 1L), service.counts().executionsByKey());
     assertEquals(201, book("k2").status());
   }
 
-  /** The service answers with an error of its own, late. */
+  /** The service responds with an error after a delay. */
   @Test
-  void toldToFailItAnswersWithAnError() {
-    service.behave(new PlainServiceStandin.Behaviour(20, 1, 0));
+  void requestedFailureIsReturned() {
+    service.setBehaviour(new PlainServiceStandin.Behaviour(20, 1, 0));
     assertEquals(500, book("k1").status());
     assertEquals(201, book("k2").status());
   }
--- a/tool/src/test/java/org/hornbeamusher/standin/PlatformStandinTest.java
+++ b/tool/src/test/java/org/hornbeamusher/standin/PlatformStandinTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The stand-in and the clients together, over loopback. */
+/** Tests the stand-in together with the platform's clients over loopback. */
 class PlatformStandinTest {
 
   private static final long TIMEOUT_MILLIS = 20_000;
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void scansGoOnAfterTheLastKeySeen() {
+  void scansContinueAfterTheLastKey() {
     for (String key : List.of("a", "d/1", "d/2", "d/3", "e")) {
       put(new RowKey("documents", key), key);
     }
@@ -100,7 +100,7 @@
     assertEquals(Optional.empty(), table.read(other).join());
   }
 
-  /** Two operators race to create one row; exactly one of them is told that it did. */
+  /** Concurrent inserts of one row: exactly one may be reported as committed. */
   @Test
   void onlyOneOfManyConditionalInsertsIsCommitted() {
     Transaction insert =
@@ -113,36 +113,39 @@
     assertEquals(1, committed);
   }
 
-  /** The answer to a write is lost on its way; the writer cannot tell, but the row is there. */
+  /** The response to a write is lost: the outcome must be unknown, although the row was written. */
   @Test
-  void lostAnswerIsUnknownAndTheWriteTookEffect() {
-    platform.faults(PlatformFaults.losing(1));
+  void lostResponseIsUnknownAndWriteTookEffect() {
+    platform.setFaults(PlatformFaults.losingResponses(1));
     assertFailure(FailureType.PLATFORM_ANSWER_LOST, Outcome.UNKNOWN, () -> put(KEY, "first"));
     assertEquals(1, table.read(KEY).join().orElseThrow().revision());
   }
 
-  /** The platform hangs; a write that got no answer in time may have been made. */
+  /** The platform hangs: a write without a response within the timeout may have taken effect. */
   @Test
-  void silenceIsUnknownForWritesAndUnavailableForReads() {
+  void missingResponseIsUnknownForWritesAndUnavailableForReads() {
     table = new HttpTable(client, platform.uri(), SHORT_MILLIS);
-    platform.faults(PlatformFaults.SILENT);
+    platform.setFaults(PlatformFaults.SILENT);
     assertFailure(FailureType.PLATFORM_ANSWER_LOST, Outcome.UNKNOWN, () -> put(KEY, "first"));
     assertFailure(FailureType.PLATFORM_UNAVAILABLE, Outcome.NOT_RUN, () -> table.read(KEY).join());
   }
 
-  /** The platform is down and says so, or nobody listens: the writer knows nothing was written. */
+  /**
+   * The platform refuses calls, or the connection is refused: nothing was written, and the outcome
+   * says so.
+   */
   @Test
   void refusedCallsAreNotWritten() {
-    platform.faults(PlatformFaults.REFUSING);
+    platform.setFaults(PlatformFaults.REFUSING);
     assertFailure(FailureType.PLATFORM_UNAVAILABLE, Outcome.NOT_RUN, () -> put(KEY, "first"));
-    platform.faults(PlatformFaults.NONE);
+    platform.setFaults(PlatformFaults.NONE);
     assertEquals(Optional.empty(), table.read(KEY).join());
     platform.stop();
     table = new HttpTable(client, URI.create("http://127.0.0.1:1"), TIMEOUT_MILLIS);
     assertFailure(FailureType.PLATFORM_UNAVAILABLE, Outcome.NOT_RUN, () -> put(KEY, "first"));
   }
 
-  /** Too many calls in a second are refused; a second later there is room again. */
+  /** Calls beyond the rate limit are refused; one second later calls are accepted again. */
   @Test
   void callsBeyondTheRateAreThrottled() {
     for (int i = 0; i < 50; i++) {
@@ -155,7 +158,7 @@
     assertEquals(new PlatformStandin.Counts(1, 52, 1), platform.counts());
   }
 
-  /** An instance is leaving, but for some seconds the list says nothing of it. */
+  /** A change of an instance shows in the list only after the lag. */
   @Test
   void theInstanceListLags() {
     HttpInstanceList list = new HttpInstanceList(client, platform.uri(), TIMEOUT_MILLIS);
--- a/tool/src/test/java/org/hornbeamusher/standin/StandinSettingsTest.java
+++ b/tool/src/test/java/org/hornbeamusher/standin/StandinSettingsTest.java
@@ -18,16 +18,16 @@
   @TempDir Path folder;
 
   @Test
-  void theExampleHoldsBothPartnersAtTodaysSizes() {
+  void exampleDescribesBothPartners() {
     StandinSettings settings = StandinSettings.read(Path.of("..", "examples", "standin.toml"));
     assertEquals(12, settings.engines().size());
-    assertEquals(6, settings.plains().size());
+    assertEquals(6, settings.plainServices().size());
     assertEquals(2, settings.stores().size());
     assertEquals(24, settings.platform().instances().size());
   }
 
   @Test
-  void everyFaultIsReportedAtOnce() throws IOException {
+  void everyProblemIsReported() throws IOException {
     Path file = folder.resolve("standin.toml");
     Files.writeString(
         file,
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void whatTheFileNamesIsStartedAndStopped() throws IOException {
+  void configuredStandinsAreStartedAndStopped() throws IOException {
     Path file = folder.resolve("standin.toml");
     Files.writeString(
         file,
@@ -79,7 +79,7 @@
     Standin standin = new Standin(StandinSettings.read(file), SystemClock.INSTANCE);
     standin.start();
     assertEquals(1, standin.engines().size());
-    assertEquals(1, standin.plains().size());
+    assertEquals(1, standin.plainServices().size());
     assertTrue(standin.platform().uri().getPort() > 0);
     standin.stop();
   }
--- a/tool/src/test/java/org/hornbeamusher/tool/CommandRunnerTest.java
+++ b/tool/src/test/java/org/hornbeamusher/tool/CommandRunnerTest.java
@@ -64,7 +64,7 @@
     assertEquals(ExitStatus.BAD_INPUT, run("submit", "file", "--base", "1"));
   }
 
-  /** An engineer names the logs of two processes; a log that is missing is said to be. */
+  /** Any number of log files is accepted; a missing file is bad input. */
   @Test
   void explainReadsAnyNumberOfLogs() throws Exception {
     String end = "{\"time\":\"2026-03-26T05:43:51.823Z\",\"name\":\"REQUEST_ENDED\",\"id\":\"c8\"}";
@@ -76,9 +76,12 @@
     assertEquals(ExitStatus.BAD_INPUT, run("explain", "c8", one + ".missing"));
   }
 
-  /** An operator's file has five faults; all five are shown, and the status says so to a script. */
+  /**
+   * All five problems of a settings file must be printed, not only the first, and the exit status
+   * must show the failure.
+   */
   @Test
-  void checkReportsAllFaultsOfSettings() throws Exception {
+  void checkReportsAllProblemsOfSettings() throws Exception {
     Path file =
         write(
             "entry.toml",
@@ -103,7 +106,7 @@
   }
 
   @Test
-  void checkReportsAllFaultsOfDocument() throws Exception {
+  void checkReportsAllProblemsOfDocument() throws Exception {
     Path file =
         write(
             "service.toml",
@@ -120,7 +123,7 @@
   }
 
   @Test
-  void everyExampleIsGood() throws Exception {
+  void everyExampleIsValid() throws Exception {
     for (String name :
         new String[] {
           "zarqa/lm-dispatch",
@@ -141,7 +144,7 @@
     assertEquals(ExitStatus.BAD_INPUT, run("check", file.toString()));
   }
 
-  /** Nothing listens where the operator points: a typed failure, not a stack trace. */
+  /** Connection refused: the command must print a typed failure, not a stack trace. */
   @Test
   void unreachableProcessIsFailure() throws Exception {
     assertEquals(ExitStatus.FAILED, run("status", "--at", "http://127.0.0.1:1"));
