--- a/runtime/src/test/java/org/hornbeamusher/architecture/ArchitectureTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/architecture/ArchitectureTest.java
@@ -26,13 +26,13 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Holds the lines that docs/ARCHITECTURE.md draws. */
+/** Checks the dependency rules of docs/ARCHITECTURE.md. */
 class ArchitectureTest {
 
   private static final String ROOT = "org.hornbeamusher.";
 
-  /** Packages whose every class decides without network, threads and a clock of its own. */
-  private static final String[] DECISIONS = {
+  /** Packages whose classes use no network, no threads and no clock of their own. */
+  private static final String[] DECISION_PACKAGES = {
     ROOT + "routing..",
     ROOT + "scheduling..",
     ROOT + "admission..",
@@ -40,14 +40,14 @@
     ROOT + "quarantine..",
     ROOT + "pacing..",
     ROOT + "membership..",
-    ROOT + "responses..",
+    ROOT + "answers..",
     ROOT + "placement..",
     ROOT + "holdings..",
     ROOT + "ratelimit..",
     ROOT + "routes.."
   };
 
-  private static final String[] IO = {
+  private static final String[] IO_PACKAGES = {
     "java.net..",
     "java.nio.channels..",
     "java.util.concurrent.locks..",
@@ -59,8 +59,10 @@
     ROOT + "table.."
   };
 
-  /** Packages that every other one may use, and that use none of the others. */
-  private static final String[] FOUNDATION = {ROOT + "ids..", ROOT + "clock..", ROOT + "failure.."};
+  /** Packages that all others may use and that depend on none of the others. */
+  private static final String[] FOUNDATION_PACKAGES = {
+    ROOT + "ids..", ROOT + "clock..", ROOT + "failure.."
+  };
 
   private static final JavaClasses MAIN =
       new ClassFileImporter()
@@ -79,10 +81,10 @@
   void decisionsUseNeitherNetworkNorThreads() {
     noClasses()
         .that()
-        .resideInAnyPackage(DECISIONS)
+        .resideInAnyPackage(DECISION_PACKAGES)
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(IO)
+        .resideInAnyPackage(IO_PACKAGES)
         .orShould()
         .dependOnClassesThat()
         .areAssignableTo(Thread.class)
@@ -92,9 +94,9 @@
         .check(MAIN);
   }
 
-  /** Beside their shells, which call the table, these slices decide in classes of their own. */
+  /** In these packages only the classes with such names are pure; the others call the table. */
   @Test
-  void decisionsOnWhatIsAgreedUseNeitherNetworkNorThreads() {
+  void documentAndClaimDecisionsUseNeitherNetworkNorThreads() {
     noClasses()
         .that()
         .resideInAnyPackage(ROOT + "documents..", ROOT + "claims..")
@@ -116,18 +118,18 @@
   void foundationUsesNothingAboveIt() {
     classes()
         .that()
-        .resideInAnyPackage(FOUNDATION)
+        .resideInAnyPackage(FOUNDATION_PACKAGES)
         .should()
         .onlyDependOnClassesThat(
             DescribedPredicate.describe(
                 "are the foundation's or no part of the project",
                 type ->
                     !type.getPackageName().startsWith("org.hornbeamusher")
-                        || JavaClass.Predicates.resideInAnyPackage(FOUNDATION).test(type)))
+                        || JavaClass.Predicates.resideInAnyPackage(FOUNDATION_PACKAGES).test(type)))
         .check(MAIN);
   }
 
-  /** The two daemons know the slices; no slice knows a daemon, or it could not be tested alone. */
+  /** No package may depend on a daemon, so that each can be tested without one. */
   @Test
   void slicesDoNotKnowTheDaemons() {
     noClasses()
@@ -157,9 +159,9 @@
         .check(MAIN);
   }
 
-  /** The users' platform is met in the folder of that name; here its wire has no names. */
+  /** Only the module {@code platform} may contain names of the protocol of the users' platform. */
   @Test
-  void productDoesNotKnowTheUsersPlatform() throws IOException {
+  void runtimeSourcesDoNotNameTheUsersPlatform() throws IOException {
     Pattern names =
         Pattern.compile("(?i)x-attempt-id|x-time-budget|x-expect-instance|rows-|/-/|x-not-exec");
     try (Stream<Path> sources = Files.walk(Path.of("src", "main", "java"))) {
@@ -180,7 +182,7 @@
     }
   }
 
-  /** A second source of time could not be turned by hand, and tests would have to sleep. */
+  /** Tests cannot set any other time source than the clock and would have to sleep. */
   @Test
   void timeComesFromTheClockOnly() {
     noClasses()
@@ -205,7 +207,7 @@
         .check(MAIN);
   }
 
-  /** Without a fixed seed a property may fail on one machine and pass on the next. */
+  /** Without a fixed seed a property could fail on one machine and pass on another. */
   @Test
   void everyPropertyHasFixedSeed() {
     methods()
--- a/runtime/src/test/java/org/hornbeamusher/docs/CatalogueTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/docs/CatalogueTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Compares the catalogues in docs/ with the code. A test that fails writes the new text beside the
- * page as {@code NAME.received.md}; move it over {@code NAME.md} when the change is meant.
+ * Compares the generated pages in docs/ with the code. A failing test writes the new text as {@code
+ * NAME.received.md} next to the page; if the change is intended, rename it to {@code NAME.md}.
  */
 class CatalogueTest {
 
@@ -116,7 +116,9 @@
                 m -> "| `%s` | %s | %s |".formatted(m.fullName(), m.kind(), m.meaning())));
   }
 
-  /** Two entries with one number could not be told apart in a log or an alarm. */
+  /**
+   * Two events or failures with the same number could not be distinguished in a log or an alarm.
+   */
   @Test
   void numbersAreUnique() {
     Set<Integer> numbers = new HashSet<>();
@@ -138,7 +140,7 @@
         text, options.forFile().withExtension(".md").forFile().withNamer(new Page(page)));
   }
 
-  /** Puts approved files into docs/ under their page's name. */
+  /** Locates the approved file of a page in docs/. */
   private record Page(String name) implements ApprovalNamer {
 
     private static final Path DOCS = Path.of("..", "docs");
