--- a/runtime/src/test/java/org/hornbeamusher/architecture/ArchitectureTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/architecture/ArchitectureTest.java
@@ -40,7 +40,7 @@
     ROOT + "quarantine..",
     ROOT + "pacing..",
     ROOT + "membership..",
-    ROOT + "answers..",
+    ROOT + "responses..",
     ROOT + "placement..",
     ROOT + "holdings..",
     ROOT + "ratelimit..",
--- a/tool/src/main/java/org/hornbeamusher/bench/capacity/TableCounts.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/capacity/TableCounts.java
@@ -26,8 +26,8 @@
 import org.hornbeamusher.ids.PartnerId;
 import org.hornbeamusher.ids.ServiceName;
 import org.hornbeamusher.ids.TeamId;
-import org.hornbeamusher.standin.PlatformSettings;
 import org.hornbeamusher.standin.PlatformStandin;
+import org.hornbeamusher.standin.PlatformStandinSettings;
 import org.hornbeamusher.table.HttpTable;
 import org.hornbeamusher.table.Table;
 
@@ -60,7 +60,7 @@
 
   static TableCounts measure() {
     Clock clock = SystemClock.INSTANCE;
-    PlatformStandin platform = new PlatformStandin(PlatformSettings.of(0, List.of()), clock);
+    PlatformStandin platform = new PlatformStandin(PlatformStandinSettings.of(0, List.of()), clock);
     HttpClient http = new HttpClient(1);
     platform.start();
     http.start();
--- a/tool/src/main/java/org/hornbeamusher/bench/path/PathBenchmark.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/path/PathBenchmark.java
@@ -73,8 +73,8 @@
       }
     }
     print(load, direct, throughEntry, out);
-    return direct.stream().allMatch(LoadReport::clean)
-        && throughEntry.stream().allMatch(LoadReport::clean);
+    return direct.stream().allMatch(LoadReport::guaranteesMet)
+        && throughEntry.stream().allMatch(LoadReport::guaranteesMet);
   }
 
   private static void print(
--- a/tool/src/main/java/org/hornbeamusher/bench/path/PathRig.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/path/PathRig.java
@@ -51,13 +51,13 @@
             base.partner(),
             base.team(),
             base.zones().subList(0, 1),
-            base.model(),
+            base.modelService(),
             1,
             SLOTS,
-            base.weights(),
-            base.plain(),
-            base.plainInstances(),
-            base.bookings());
+            base.costWeights(),
+            base.plainService(),
+            base.plainInstanceCount(),
+            base.nonRepeatablePath());
     EngineSettings settings =
         EngineSettings.of(0, SLOTS, load.batch()).withTokenMicros(load.tokenMicros());
     this.deployment = new Deployment(List.of(plan), settings);
@@ -91,17 +91,18 @@
   }
 
   private LoadReport run(List<URI> targets, String token) throws InterruptedException {
-    Traffic traffic = new Traffic.Model(adapters(), 0, 1, 1, PROMPT_CHARS, load.tokens());
+    Traffic traffic =
+        new Traffic.CompletionTraffic(adapters(), 0, 1, 1, PROMPT_CHARS, load.tokens());
     LoadSettings settings =
         LoadSettings.of(targets, token, load.requests(), load.requestsPerSecond(), traffic)
-            .withInFlight(load.inFlight());
+            .withMaxInFlight(load.inFlight());
     return new LoadRunner(settings, client).run();
   }
 
   private List<AdapterRef> adapters() {
     List<AdapterRef> adapters = new ArrayList<>();
     for (int i = 0; i < SLOTS; i++) {
-      adapters.add(new AdapterRef(plan.model(), new AdapterName("a-" + i), 1));
+      adapters.add(new AdapterRef(plan.modelService(), new AdapterName("a-" + i), 1));
     }
     return adapters;
   }
--- a/tool/src/main/java/org/hornbeamusher/demo/Demo.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/Demo.java
@@ -108,7 +108,10 @@
           IntStream.range(0, SLOTS - 1)
               .mapToObj(n -> adapter(plan, first + n * plan.engineCount()))
               .toList();
-      deployment.engines().get(new EndpointId(plan.model() + "-" + engine)).makeResident(popular);
+      deployment
+          .engines()
+          .get(new EndpointId(plan.modelService() + "-" + engine))
+          .makeResident(popular);
     }
   }
 
@@ -134,8 +137,8 @@
       throws InterruptedException {
     Map<String, CompletableFuture<LoadReport>> running = new LinkedHashMap<>();
     for (PartnerPlan plan : plans) {
-      running.put(plan.model().value(), startLoad(client, modelLoad(deployment, plan)));
-      running.put(plan.plain().value(), startLoad(client, plainLoad(deployment, plan)));
+      running.put(plan.modelService().value(), startLoad(client, modelLoad(deployment, plan)));
+      running.put(plan.plainService().value(), startLoad(client, plainLoad(deployment, plan)));
     }
     ScheduledExecutorService script = Executors.newSingleThreadScheduledExecutor();
     schedule(script, RESTART_SECOND, () -> restartEngine(deployment));
@@ -182,7 +185,7 @@
     List<AdapterRef> adapters =
         IntStream.range(0, plan.adapterCount()).mapToObj(n -> adapter(plan, n)).toList();
     Traffic traffic =
-        new Traffic.Model(
+        new Traffic.CompletionTraffic(
             adapters, ZIPF_EXPONENT, 0, STREAMED_SHARE, PROMPT_CHARACTERS, MAX_TOKENS);
     return LoadSettings.of(
             uris(deployment, plan),
@@ -200,7 +203,7 @@
             Deployment.callerToken(plan),
             PLAIN_RATE * WORKLOAD_SECONDS,
             PLAIN_RATE,
-            new Traffic.Plain(plan.plain(), plan.bookings()))
+            new Traffic.PlainServiceTraffic(plan.plainService(), plan.nonRepeatablePath()))
         .withNonRepeatable(1, RESEND_SHARE);
   }
 
@@ -209,17 +212,17 @@
   }
 
   private static AdapterRef adapter(PartnerPlan plan, int number) {
-    return new AdapterRef(plan.model(), new AdapterName("a-" + number), 1);
+    return new AdapterRef(plan.modelService(), new AdapterName("a-" + number), 1);
   }
 
   private void restartEngine(Deployment deployment) {
-    EndpointId endpoint = new EndpointId(PartnerPlan.ZARQA.model() + "-2");
+    EndpointId endpoint = new EndpointId(PartnerPlan.ZARQA.modelService() + "-2");
     out.printf("demo: second %d, engine %s restarts cold%n", RESTART_SECOND, endpoint);
     deployment.engines().get(endpoint).restart();
   }
 
   private void drainAgent(Deployment deployment) {
-    EndpointId endpoint = new EndpointId(PartnerPlan.TAWHITI.model() + "-4");
+    EndpointId endpoint = new EndpointId(PartnerPlan.TAWHITI.modelService() + "-4");
     out.printf("demo: second %d, the agent of %s drains%n", DRAIN_SECOND, endpoint);
     deployment.agents().get(endpoint).drain();
     pause(DRAIN_GRACE_MILLIS);
@@ -241,16 +244,16 @@
     String text = deployment.documentText(plan).replace("queue = 256", "queue = 200");
     long version = deployment.submit(plan, text, 1);
     for (long waited = 0; waited < START_TIMEOUT_MILLIS; waited += POLL_INTERVAL_MILLIS) {
-      if (deployment.hasVersionEverywhere(plan.model(), version)) {
+      if (deployment.hasVersionEverywhere(plan.modelService(), version)) {
         out.printf(
             "demo: second %d, version %d of %s accepted, in force in every process after"
                 + " about %d ms%n",
-            CHANGE_SECOND, version, plan.model(), waited);
+            CHANGE_SECOND, version, plan.modelService(), waited);
         return;
       }
       pause(POLL_INTERVAL_MILLIS);
     }
-    failures.add("version " + version + " of " + plan.model() + " did not come into force");
+    failures.add("version " + version + " of " + plan.modelService() + " did not come into force");
   }
 
   private void checkEngines(Deployment deployment) {
--- a/tool/src/main/java/org/hornbeamusher/demo/DemoDocuments.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/DemoDocuments.java
@@ -7,7 +7,7 @@
 
   static String modelDocument(PartnerPlan plan, int slots, int batch, int queue) {
     StringBuilder text = new StringBuilder();
-    text.append(header(plan, plan.model().value()));
+    text.append(header(plan, plan.modelService().value()));
     text.append("[model]\n");
     text.append("base_model = \"base\"\n");
     text.append("fencing = true\n");
@@ -15,8 +15,8 @@
     text.append("batch = ").append(batch).append('\n');
     text.append("weights = \"").append(plan.partner()).append("/{adapter}/{version}\"\n");
     text.append("[weights]\n");
-    text.append("load_stall = ").append(plan.weights().loadStall()).append('\n');
-    text.append("batch_efficiency = ").append(plan.weights().batchEfficiency()).append('\n');
+    text.append("load_stall = ").append(plan.costWeights().loadStall()).append('\n');
+    text.append("batch_efficiency = ").append(plan.costWeights().batchEfficiency()).append('\n');
     text.append("[limits]\n");
     text.append("queue = ").append(queue).append('\n');
     text.append("[adapters]\n");
@@ -27,10 +27,12 @@
   }
 
   static String plainDocument(PartnerPlan plan, int concurrency) {
-    return header(plan, plan.plain().value())
+    return header(plan, plan.plainService().value())
         + "[plain]\n"
         + ("concurrency = " + concurrency + "\n")
-        + ("non_repeatable = [{ method = \"POST\", path = \"" + plan.bookings() + "\" }]\n");
+        + ("non_repeatable = [{ method = \"POST\", path = \""
+            + plan.nonRepeatablePath()
+            + "\" }]\n");
   }
 
   private static String header(PartnerPlan plan, String service) {
--- a/tool/src/main/java/org/hornbeamusher/demo/Deployment.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/Deployment.java
@@ -38,8 +38,8 @@
 import org.hornbeamusher.standin.EngineSettings;
 import org.hornbeamusher.standin.EngineStandin;
 import org.hornbeamusher.standin.PlainServiceStandin;
-import org.hornbeamusher.standin.PlatformSettings;
 import org.hornbeamusher.standin.PlatformStandin;
+import org.hornbeamusher.standin.PlatformStandinSettings;
 import org.hornbeamusher.standin.WeightStoreStandin;
 import org.hornbeamusher.table.HttpTable;
 import org.hornbeamusher.table.Instance;
@@ -66,7 +66,7 @@
   private final WeightStoreStandin store = new WeightStoreStandin(clock, LOAD_MILLIS);
   private final PlatformStandin platform =
       new PlatformStandin(
-          new PlatformSettings(
+          new PlatformStandinSettings(
               LOOPBACK, 0, WRITES_PER_SECOND, READS_PER_SECOND, LIST_LAG_MILLIS, List.of()),
           clock);
   private final HttpClient http = new HttpClient(1);
@@ -102,7 +102,7 @@
       for (int i = 0; i < plan.engineCount(); i++) {
         startEngine(plan, i);
       }
-      for (int i = 0; i < plan.plainInstances(); i++) {
+      for (int i = 0; i < plan.plainInstanceCount(); i++) {
         startPlain(plan, i);
       }
     }
@@ -149,7 +149,7 @@
             clock,
             () -> java.util.UUID.randomUUID().toString());
     Principal author = new Principal(plan.partner(), plan.team());
-    return switch (documents.submit(plan.model() + ".toml", text, base, author).join()) {
+    return switch (documents.submit(plan.modelService() + ".toml", text, base, author).join()) {
       case SubmitResult.Accepted accepted -> accepted.version();
       case SubmitResult other ->
           throw HornbeamusherException.notRun(FailureType.DOCUMENT_INVALID, other);
@@ -287,18 +287,18 @@
   private void startEngine(PartnerPlan plan, int number) {
     EngineStandin engine = new EngineStandin(engineSettings, store, clock);
     engine.start();
-    EndpointId endpoint = new EndpointId(plan.model() + "-" + number);
+    EndpointId endpoint = new EndpointId(plan.modelService() + "-" + number);
     engines.put(endpoint, engine);
-    startAgent(plan.zone(number), endpoint, plan.model(), engine.uri(), modelCapacity());
+    startAgent(plan.zone(number), endpoint, plan.modelService(), engine.uri(), modelCapacity());
   }
 
   private void startPlain(PartnerPlan plan, int number) {
-    PlainServiceStandin service = new PlainServiceStandin(plan.plain().value(), LOOPBACK, 0);
+    PlainServiceStandin service = new PlainServiceStandin(plan.plainService().value(), LOOPBACK, 0);
     service.start();
-    EndpointId endpoint = new EndpointId(plan.plain() + "-" + number);
+    EndpointId endpoint = new EndpointId(plan.plainService() + "-" + number);
     plainServices.put(endpoint, service);
     CapacitySettings capacity = CapacitySettings.defaultsFor(EndpointKind.PLAIN);
-    startAgent(plan.zone(number), endpoint, plan.plain(), service.uri(), capacity);
+    startAgent(plan.zone(number), endpoint, plan.plainService(), service.uri(), capacity);
   }
 
   /**
--- a/tool/src/main/java/org/hornbeamusher/demo/PartnerPlan.java
+++ b/tool/src/main/java/org/hornbeamusher/demo/PartnerPlan.java
@@ -13,25 +13,25 @@
  * @param partner the partner
  * @param team the team that owns its services
  * @param zones its availability zones
- * @param model its model service
+ * @param modelService its model service
  * @param engineCount number of engines of the model service
  * @param adapterCount number of adapters of the model service
- * @param weights weights of load stall and batch efficiency in the routing cost
- * @param plain its plain service
- * @param plainInstances number of endpoints of the plain service
- * @param bookings the path of the plain service's non-repeatable calls
+ * @param costWeights weights of load stall and batch efficiency in the routing cost
+ * @param plainService its plain service
+ * @param plainInstanceCount number of endpoints of the plain service
+ * @param nonRepeatablePath the path of the plain service's non-repeatable calls
  */
 public record PartnerPlan(
     PartnerId partner,
     TeamId team,
     List<AvailabilityZone> zones,
-    ServiceName model,
+    ServiceName modelService,
     int engineCount,
     int adapterCount,
-    CostWeights weights,
-    ServiceName plain,
-    int plainInstances,
-    String bookings) {
+    CostWeights costWeights,
+    ServiceName plainService,
+    int plainInstanceCount,
+    String nonRepeatablePath) {
 
   private static final int ENGINES = 6;
   private static final int PLAIN_INSTANCES = 3;
--- a/tool/src/main/java/org/hornbeamusher/load/LoadReport.java
+++ b/tool/src/main/java/org/hornbeamusher/load/LoadReport.java
@@ -80,7 +80,7 @@
    *
    * @return whether no request was wrong, lost or repeated
    */
-  public boolean clean() {
+  public boolean guaranteesMet() {
     return wrong == 0 && lost == 0 && repeated == 0;
   }
 
--- a/tool/src/main/java/org/hornbeamusher/load/LoadSettings.java
+++ b/tool/src/main/java/org/hornbeamusher/load/LoadSettings.java
@@ -116,7 +116,7 @@
    * @param maximum maximum number of requests in flight
    * @return a copy
    */
-  public LoadSettings withInFlight(int maximum) {
+  public LoadSettings withMaxInFlight(int maximum) {
     return new LoadSettings(
         entries,
         token,
--- a/tool/src/main/java/org/hornbeamusher/load/Traffic.java
+++ b/tool/src/main/java/org/hornbeamusher/load/Traffic.java
@@ -17,7 +17,7 @@
    * @param promptChars length of a prompt in characters
    * @param maxTokens maximum number of tokens of a response
    */
-  record Model(
+  record CompletionTraffic(
       List<AdapterRef> adapters,
       double skew,
       double uniformShare,
@@ -27,7 +27,7 @@
       implements Traffic {
 
     /** Copies the list. */
-    public Model {
+    public CompletionTraffic {
       adapters = List.copyOf(adapters);
     }
   }
@@ -38,5 +38,5 @@
    * @param service the service
    * @param path path of the POST requests, without the service's prefix
    */
-  record Plain(ServiceName service, String path) implements Traffic {}
+  record PlainServiceTraffic(ServiceName service, String path) implements Traffic {}
 }
--- a/tool/src/main/java/org/hornbeamusher/load/Workload.java
+++ b/tool/src/main/java/org/hornbeamusher/load/Workload.java
@@ -28,7 +28,7 @@
     this.settings = settings;
     this.keyRandom = keyRandom;
     this.random = new SplittableRandom(settings.seed());
-    if (settings.traffic() instanceof Traffic.Model model) {
+    if (settings.traffic() instanceof Traffic.CompletionTraffic model) {
       this.sampler = new ZipfSampler(model.adapters().size(), model.skew());
     }
   }
@@ -36,8 +36,9 @@
   LoadRequest next(int number) {
     boolean nonRepeatable = random.nextDouble() < settings.nonRepeatableShare();
     return switch (settings.traffic()) {
-      case Traffic.Model model -> completion(model, number, nonRepeatable ? newKey() : "");
-      case Traffic.Plain plain ->
+      case Traffic.CompletionTraffic model ->
+          completion(model, number, nonRepeatable ? newKey() : "");
+      case Traffic.PlainServiceTraffic plain ->
           new LoadRequest.PlainCall(
               plain.service().value(), plain.path(), "load " + number, newKey());
     };
@@ -47,7 +48,8 @@
     return !request.idempotencyKey().isEmpty() && random.nextDouble() < settings.resendShare();
   }
 
-  private LoadRequest completion(Traffic.Model model, int number, String idempotencyKey) {
+  private LoadRequest completion(
+      Traffic.CompletionTraffic model, int number, String idempotencyKey) {
     boolean uniform = random.nextDouble() < model.uniformShare();
     int rank = uniform ? random.nextInt(model.adapters().size()) : sampler.next(random);
     boolean streamed = random.nextDouble() < model.streamedShare();
--- a/tool/src/main/java/org/hornbeamusher/standin/PlatformStandin.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/PlatformStandin.java
@@ -54,7 +54,7 @@
    * @param settings the platform's settings
    * @param clock source of time for rate limits and the lag of the instance list
    */
-  public PlatformStandin(PlatformSettings settings, Clock clock) {
+  public PlatformStandin(PlatformStandinSettings settings, Clock clock) {
     this.clock = clock;
     this.instances = new LaggedInstanceList(settings.listLagMillis(), settings.instances());
     this.writes = new TokenBucket(settings.writesPerSecond());
--- a/tool/src/main/java/org/hornbeamusher/standin/PlatformSettings.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/PlatformStandinSettings.java
@@ -13,7 +13,7 @@
  * @param listLagMillis time until a change shows in the instance list
  * @param instances the initial instance list
  */
-public record PlatformSettings(
+public record PlatformStandinSettings(
     String host,
     int port,
     int writesPerSecond,
@@ -22,7 +22,7 @@
     List<Instance> instances) {
 
   /** Copies the list. */
-  public PlatformSettings {
+  public PlatformStandinSettings {
     instances = List.copyOf(instances);
   }
 
@@ -34,7 +34,7 @@
    * @param instances the initial instance list
    * @return settings with 500 writes and 2,000 reads per second and a list lag of 3 s
    */
-  public static PlatformSettings of(int port, List<Instance> instances) {
-    return new PlatformSettings("127.0.0.1", port, 500, 2_000, 3_000, instances);
+  public static PlatformStandinSettings of(int port, List<Instance> instances) {
+    return new PlatformStandinSettings("127.0.0.1", port, 500, 2_000, 3_000, instances);
   }
 }
--- a/tool/src/main/java/org/hornbeamusher/standin/StandinSettings.java
+++ b/tool/src/main/java/org/hornbeamusher/standin/StandinSettings.java
@@ -22,7 +22,7 @@
  * @param plainServices the plain services
  */
 public record StandinSettings(
-    PlatformSettings platform,
+    PlatformStandinSettings platform,
     List<Store> stores,
     List<Engine> engines,
     List<PlainService> plainServices) {
@@ -88,9 +88,9 @@
     List<Instance> instances =
         top.tables("instance").stream().map(StandinSettings::instance).toList();
     TomlChecker table = top.table("platform");
-    PlatformSettings defaults = PlatformSettings.of(0, instances);
-    PlatformSettings platform =
-        new PlatformSettings(
+    PlatformStandinSettings defaults = PlatformStandinSettings.of(0, instances);
+    PlatformStandinSettings platform =
+        new PlatformStandinSettings(
             host(table),
             port(table),
             count(table, "writes_per_second", defaults.writesPerSecond()),
--- a/tool/src/main/java/org/hornbeamusher/tool/LoadCommand.java
+++ b/tool/src/main/java/org/hornbeamusher/tool/LoadCommand.java
@@ -72,7 +72,7 @@
       if (line.hasOption("percentiles")) {
         writePercentiles(report, Path.of(line.getOptionValue("percentiles")));
       }
-      return report.clean() ? ExitStatus.OK : ExitStatus.FAILED;
+      return report.guaranteesMet() ? ExitStatus.OK : ExitStatus.FAILED;
     } finally {
       client.stop();
     }
@@ -89,7 +89,8 @@
           FailureType.USAGE, "the token's caller has no model at " + entry);
     }
     int tokens = number(line, "tokens", 32);
-    return new Traffic.Model(adapters, SKEW, UNIFORM_SHARE, STREAMED_SHARE, PROMPT_CHARS, tokens);
+    return new Traffic.CompletionTraffic(
+        adapters, SKEW, UNIFORM_SHARE, STREAMED_SHARE, PROMPT_CHARS, tokens);
   }
 
   private static int number(CommandLine line, String option, int defaultValue) {
--- a/tool/src/test/java/org/hornbeamusher/load/LoadRunnerTest.java
+++ b/tool/src/test/java/org/hornbeamusher/load/LoadRunnerTest.java
@@ -58,19 +58,21 @@
 
   @Test
   void everyResponseIsCheckedAndCounted() throws InterruptedException {
-    Traffic.Model traffic = new Traffic.Model(List.of(HOT), 1, 0, 0.5, 40, 8);
+    Traffic.CompletionTraffic traffic =
+        new Traffic.CompletionTraffic(List.of(HOT), 1, 0, 0.5, 40, 8);
     LoadReport report = run(LoadSettings.of(List.of(engine.uri()), "", 100, 0, traffic));
     assertEquals(100, report.answered());
     assertEquals(800, report.tokens());
     assertEquals(100, report.total().getTotalCount());
-    assertTrue(report.clean());
+    assertTrue(report.guaranteesMet());
     assertEquals(Map.of(HOT.toString(), 100L), engine.counts().runs());
   }
 
   /** The stand-in's errors state no outcome, so they must not count as refusals. */
   @Test
   void errorsWithoutAnOutcomeAreFailures() throws InterruptedException {
-    Traffic.Model traffic = new Traffic.Model(List.of(COLD), 1, 0, 0, 40, 8);
+    Traffic.CompletionTraffic traffic =
+        new Traffic.CompletionTraffic(List.of(COLD), 1, 0, 0, 40, 8);
     LoadReport report = run(LoadSettings.of(List.of(engine.uri()), "", 10, 1_000, traffic));
     assertEquals(Map.of("adapter-not-resident", 10), report.failed());
     assertEquals(10, report.requests());
@@ -79,11 +81,11 @@
   /** Connections are refused: every request is lost, and the run still ends. */
   @Test
   void requestsWithoutResponseAreLost() throws InterruptedException {
-    Traffic.Model traffic = new Traffic.Model(List.of(HOT), 1, 0, 0, 40, 8);
+    Traffic.CompletionTraffic traffic = new Traffic.CompletionTraffic(List.of(HOT), 1, 0, 0, 40, 8);
     URI nobody = URI.create("http://127.0.0.1:1");
     LoadReport report = run(LoadSettings.of(List.of(nobody), "", 10, 0, traffic));
     assertEquals(10, report.lost());
-    assertFalse(report.clean());
+    assertFalse(report.guaranteesMet());
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     report.print(new PrintStream(text, true, StandardCharsets.UTF_8));
     assertTrue(text.toString(StandardCharsets.UTF_8).contains("10 lost, 0 repeated"));
@@ -95,13 +97,14 @@
    */
   @Test
   void resentRequestThatRunsAgainIsRepeated() throws InterruptedException {
-    Traffic.Model traffic = new Traffic.Model(List.of(HOT), 1, 0, 0.5, 40, 8);
+    Traffic.CompletionTraffic traffic =
+        new Traffic.CompletionTraffic(List.of(HOT), 1, 0, 0.5, 40, 8);
     LoadSettings settings =
         LoadSettings.of(List.of(engine.uri()), "", 5, 0, traffic).withNonRepeatable(1, 1);
     LoadReport report = run(settings);
     assertEquals(5, report.answered());
     assertEquals(5, report.repeated());
-    assertFalse(report.clean());
+    assertFalse(report.guaranteesMet());
     assertEquals(5, engine.counts().repeatedRuns());
   }
 
--- a/tool/src/test/java/org/hornbeamusher/path/FaultsTest.java
+++ b/tool/src/test/java/org/hornbeamusher/path/FaultsTest.java
@@ -304,12 +304,16 @@
     for (int entry = 0; entry < 2; entry++) {
       var documents = path.entry(entry).services().documents();
       PathFixture.await(
-          () -> documents.current(PathFixture.PLAN.model()).orElseThrow().version() == version);
+          () ->
+              documents.current(PathFixture.PLAN.modelService()).orElseThrow().version()
+                  == version);
     }
     for (AgentDaemon agent : path.deployment().agents().values()) {
       var documents = agent.services().documents();
       PathFixture.await(
-          () -> documents.current(PathFixture.PLAN.model()).orElseThrow().version() == version);
+          () ->
+              documents.current(PathFixture.PLAN.modelService()).orElseThrow().version()
+                  == version);
     }
     HttpResponse response =
         path.post(
--- a/tool/src/test/java/org/hornbeamusher/path/PathFixture.java
+++ b/tool/src/test/java/org/hornbeamusher/path/PathFixture.java
@@ -87,7 +87,7 @@
   }
 
   static AdapterRef adapter(int number) {
-    return new AdapterRef(PLAN.model(), new AdapterName("a-" + number), 1);
+    return new AdapterRef(PLAN.modelService(), new AdapterName("a-" + number), 1);
   }
 
   /**
--- a/tool/src/test/java/org/hornbeamusher/standin/PlatformStandinTest.java
+++ b/tool/src/test/java/org/hornbeamusher/standin/PlatformStandinTest.java
@@ -43,7 +43,7 @@
   private final ManualClock clock = new ManualClock(1_000_000);
   private final PlatformStandin platform =
       new PlatformStandin(
-          new PlatformSettings("127.0.0.1", 0, 50, 100, 3_000, List.of(AGENT)), clock);
+          new PlatformStandinSettings("127.0.0.1", 0, 50, 100, 3_000, List.of(AGENT)), clock);
   private final HttpClient client = new HttpClient(1);
   private HttpTable table;
 
