--- a/runtime/src/main/java/org/hornbeamusher/agent/AttemptRegister.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/AttemptRegistry.java
@@ -11,7 +11,7 @@
  * The attempts that are queued or running at this agent, by ticket and by the entry's attempt
  * number. Every method is called under the lock of {@link EndpointExecutor}.
  */
-final class AttemptRegister {
+final class AttemptRegistry {
 
   private final Map<Long, AgentAttempt> byTicket = new HashMap<>();
   private final Map<Key, AgentAttempt> byKey = new HashMap<>();
--- a/runtime/src/main/java/org/hornbeamusher/agent/EndpointExecutor.java
+++ b/runtime/src/main/java/org/hornbeamusher/agent/EndpointExecutor.java
@@ -59,7 +59,7 @@
   private final HttpClient http;
   private final Clock clock;
   private final Function<AdapterRef, String> weightsLocation;
-  private final AttemptRegister attempts = new AttemptRegister();
+  private final AttemptRegistry attempts = new AttemptRegistry();
 
   /**
    * The time that the scheduler returned after its latest decision; a later query would return a
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimDecision.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimDecision.java
@@ -42,7 +42,7 @@
       case ClaimRow.Claimed other -> new Done(claimedByOther(other, settings, now));
       case ClaimRow.NotRun notRun ->
           new Write(atRevision(seen.get()), claimedRow(claim, row.attempt() + 1));
-      case ClaimRow.Ran ran -> new Done(new ClaimResult.Ran(ran.answer()));
+      case ClaimRow.Ran ran -> new Done(new ClaimResult.Ran(ran.response()));
       case ClaimRow.Unknown unknown -> new Done(new ClaimResult.Unknown());
     };
   }
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimResult.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimResult.java
@@ -16,7 +16,7 @@
   default Optional<HornbeamusherException> failure() {
     return switch (this) {
       case Acquired won -> Optional.empty();
-      case Ran ran when ran.answer().isPresent() -> Optional.empty();
+      case Ran ran when ran.response().isPresent() -> Optional.empty();
       case Ran ran ->
           Optional.of(HornbeamusherException.of(FailureType.CLAIM_ALREADY_RAN, Outcome.RAN));
       case InProgress progress ->
@@ -47,9 +47,9 @@
   /**
    * The request has already run under an earlier claim.
    *
-   * @param answer its response, if it was stored
+   * @param response its response, if it was stored
    */
-  record Ran(Optional<StoredResponse> answer) implements ClaimResult {}
+  record Ran(Optional<StoredResponse> response) implements ClaimResult {}
 
   /** The request may have run under an earlier claim; whether it did cannot be determined. */
   record Unknown() implements ClaimResult {}
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimRow.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimRow.java
@@ -45,9 +45,9 @@
   /**
    * The request ran.
    *
-   * @param answer its response, if it is short enough to be stored
+   * @param response its response, if it is short enough to be stored
    */
-  public record Ran(Optional<StoredResponse> answer) implements State {}
+  public record Ran(Optional<StoredResponse> response) implements State {}
 
   /** The request may have run. */
   public record Unknown() implements State {}
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimRows.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimRows.java
@@ -55,7 +55,7 @@
       case ClaimRow.NotRun notRun -> packer.packInt(NOT_RUN);
       case ClaimRow.Ran ran -> {
         packer.packInt(RAN);
-        packAnswer(packer, ran.answer());
+        packResponse(packer, ran.response());
       }
       case ClaimRow.Unknown unknown -> packer.packInt(UNKNOWN);
     }
@@ -66,24 +66,24 @@
     return switch (state) {
       case CLAIMED -> new ClaimRow.Claimed(unpacker.unpackLong());
       case NOT_RUN -> new ClaimRow.NotRun();
-      case RAN -> new ClaimRow.Ran(unpackAnswer(unpacker));
+      case RAN -> new ClaimRow.Ran(unpackResponse(unpacker));
       case UNKNOWN -> new ClaimRow.Unknown();
       default -> throw malformed("state " + state);
     };
   }
 
-  private static void packAnswer(MessageBufferPacker packer, Optional<StoredResponse> answer)
+  private static void packResponse(MessageBufferPacker packer, Optional<StoredResponse> response)
       throws IOException {
-    packer.packBoolean(answer.isPresent());
-    if (answer.isPresent()) {
-      packer.packInt(answer.get().status());
-      packer.packString(answer.get().contentType());
-      packer.packBinaryHeader(answer.get().body().length);
-      packer.writePayload(answer.get().body());
+    packer.packBoolean(response.isPresent());
+    if (response.isPresent()) {
+      packer.packInt(response.get().status());
+      packer.packString(response.get().contentType());
+      packer.packBinaryHeader(response.get().body().length);
+      packer.writePayload(response.get().body());
     }
   }
 
-  private static Optional<StoredResponse> unpackAnswer(MessageUnpacker unpacker)
+  private static Optional<StoredResponse> unpackResponse(MessageUnpacker unpacker)
       throws IOException {
     if (!unpacker.unpackBoolean()) {
       return Optional.empty();
--- a/runtime/src/main/java/org/hornbeamusher/claims/ClaimStore.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/ClaimStore.java
@@ -147,15 +147,15 @@
    *
    * @param claim the claim
    * @param outcome the outcome; {@link Outcome.NotRun} only where this is proven
-   * @param answer the complete response of a request that ran; stored if it is short enough
+   * @param response the complete response of a request that ran; stored if it is short enough
    * @return whether the outcome is in the table; if not, the write is retried in the background
    */
   public CompletableFuture<Boolean> finish(
-      Claim claim, Outcome outcome, Optional<StoredResponse> answer) {
+      Claim claim, Outcome outcome, Optional<StoredResponse> response) {
     ClaimRow.State state =
         switch (outcome) {
           case Outcome.NotRun notRun -> new ClaimRow.NotRun();
-          case Outcome.Ran ran -> new ClaimRow.Ran(answer.filter(ClaimStore::isStorable));
+          case Outcome.Ran ran -> new ClaimRow.Ran(response.filter(ClaimStore::isStorable));
           case Outcome.Unknown unknown -> new ClaimRow.Unknown();
         };
     return write(new PendingOutcome(claim, state, false));
@@ -341,8 +341,8 @@
             .causedBy(HornbeamusherException.from(thrown)));
   }
 
-  private static boolean isStorable(StoredResponse answer) {
-    return answer.body().length <= StoredResponse.MAXIMUM_LENGTH;
+  private static boolean isStorable(StoredResponse response) {
+    return response.body().length <= StoredResponse.MAXIMUM_LENGTH;
   }
 
   private static CompletableFuture<ClaimResult> refused(HornbeamusherException reason) {
--- a/runtime/src/main/java/org/hornbeamusher/claims/StoredResponse.java
+++ b/runtime/src/main/java/org/hornbeamusher/claims/StoredResponse.java
@@ -20,10 +20,10 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof StoredResponse answer
-        && status == answer.status
-        && contentType.equals(answer.contentType)
-        && Arrays.equals(body, answer.body);
+    return other instanceof StoredResponse response
+        && status == response.status
+        && contentType.equals(response.contentType)
+        && Arrays.equals(body, response.body);
   }
 
   @Override
--- a/runtime/src/main/java/org/hornbeamusher/endpoint/EngineOrderClient.java
+++ b/runtime/src/main/java/org/hornbeamusher/endpoint/EngineOrderClient.java
@@ -65,11 +65,11 @@
   private CompletableFuture<HttpResponse> send(HttpRequest call, long timeoutMillis) {
     return http.send(call, timeoutMillis)
         .whenComplete(
-            (reply, thrown) -> {
+            (response, thrown) -> {
               if (thrown == null) {
-                String time = reply.headers().get(RetryAfter.FIELD);
+                String time = response.headers().get(RetryAfter.FIELD);
                 List<String> times = time == null ? List.of() : List.of(time);
-                retryAfter.accept(RetryAfter.of(reply.status(), times));
+                retryAfter.accept(RetryAfter.of(response.status(), times));
               }
             });
   }
@@ -117,7 +117,7 @@
     order.put("request_id", requestId);
     byte[] body = order.toString().getBytes(StandardCharsets.UTF_8);
     return send(HttpRequest.postJson(uri.resolve("/v1/cancel"), body), STATE_TIMEOUT_MILLIS)
-        .thenAccept(reply -> {});
+        .thenAccept(response -> {});
   }
 
   /**
@@ -133,22 +133,22 @@
   private CompletableFuture<Void> order(String path, ObjectNode order, AdapterRef adapter) {
     byte[] body = order.toString().getBytes(StandardCharsets.UTF_8);
     return send(HttpRequest.postJson(uri.resolve(path), body), orderTimeoutMillis)
-        .thenAccept(reply -> check(reply, adapter));
+        .thenAccept(response -> check(response, adapter));
   }
 
-  private void check(HttpResponse reply, AdapterRef adapter) {
-    if (reply.status() == OK) {
+  private void check(HttpResponse response, AdapterRef adapter) {
+    if (response.status() == OK) {
       return;
     }
-    if (reply.status() == CONFLICT && bodyText(reply).contains("stale-fencing-number")) {
+    if (response.status() == CONFLICT && bodyText(response).contains("stale-fencing-number")) {
       throw HornbeamusherException.notRun(FailureType.STALE_FENCING_NUMBER, endpoint);
     }
     throw HornbeamusherException.notRun(FailureType.LOAD_FAILED, adapter);
   }
 
-  private EngineState parseState(HttpResponse reply) {
+  private EngineState parseState(HttpResponse response) {
     try {
-      JsonNode json = JSON.readTree(reply.body());
+      JsonNode json = JSON.readTree(response.body());
       Set<AdapterRef> resident = new HashSet<>();
       json.path("resident").forEach(name -> resident.add(AdapterRef.parse(name.asText())));
       return new EngineState(
@@ -163,7 +163,7 @@
     }
   }
 
-  private static String bodyText(HttpResponse reply) {
-    return new String(reply.body(), StandardCharsets.UTF_8);
+  private static String bodyText(HttpResponse response) {
+    return new String(response.body(), StandardCharsets.UTF_8);
   }
 }
--- a/runtime/src/main/java/org/hornbeamusher/entry/CallerApi.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/CallerApi.java
@@ -53,7 +53,7 @@
   /** Retry-After of an entry whose limit of requests in flight is reached. */
   private static final long FULL_RETRY_MILLIS = 1_000;
 
-  /** What the API needs from the entry. */
+  /** The functions of the entry that the API uses. */
   interface Host {
 
     /** Returns the current document of a service. */
--- a/runtime/src/main/java/org/hornbeamusher/entry/ClaimedRun.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/ClaimedRun.java
@@ -60,7 +60,7 @@
     }
     switch (result) {
       case ClaimResult.Acquired won -> runAcquired(won.claim(), writer, attempts);
-      case ClaimResult.Ran ran -> ran.answer().ifPresent(writer::replay);
+      case ClaimResult.Ran ran -> ran.response().ifPresent(writer::replay);
       default -> throw HornbeamusherException.of(FailureType.INTERNAL, Outcome.UNKNOWN, result);
     }
   }
--- a/runtime/src/main/java/org/hornbeamusher/entry/RequestRunner.java
+++ b/runtime/src/main/java/org/hornbeamusher/entry/RequestRunner.java
@@ -35,7 +35,7 @@
  */
 final class RequestRunner {
 
-  /** What the runner needs from the entry. */
+  /** The functions of the entry that the runner uses. */
   interface Host {
 
     /** Returns the open link to an endpoint's agent. */
--- a/runtime/src/main/java/org/hornbeamusher/failure/Outcome.java
+++ b/runtime/src/main/java/org/hornbeamusher/failure/Outcome.java
@@ -1,7 +1,7 @@
 package org.hornbeamusher.failure;
 
 /**
- * What a failure guarantees about the request that it ended.
+ * The guarantee that a failure gives about the request that it ended.
  *
  * <p>Each outcome is its own type, so that the compiler checks a switch over outcomes for
  * completeness.
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/AgentConnections.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/AgentConnections.java
@@ -246,14 +246,14 @@
     PermitListener NONE =
         new PermitListener() {
           @Override
-          public void received(Message.RatePermitResponse reply) {}
+          public void received(Message.RatePermitResponse response) {}
 
           @Override
           public void closed(InetSocketAddress agent) {}
         };
 
     /** An agent has granted or refused a permit. */
-    void received(Message.RatePermitResponse reply);
+    void received(Message.RatePermitResponse response);
 
     /** The connection to an agent was lost. */
     void closed(InetSocketAddress agent);
@@ -364,7 +364,7 @@
           applyCosts();
         }
         case Message.UsageUpdate update -> usageListener.received(address, update);
-        case Message.RatePermitResponse reply -> permitListener.received(reply);
+        case Message.RatePermitResponse response -> permitListener.received(response);
         case Message.ReservationGranted report -> {
           EngineReservation granted = activeReservations.get(report.reservation());
           if (granted != null) {
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointRateLimiter.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/EndpointRateLimiter.java
@@ -129,14 +129,14 @@
   }
 
   @Override
-  public void received(Message.RatePermitResponse reply) {
-    PendingRatePermit permit = pending.remove(reply.requestNumber());
+  public void received(Message.RatePermitResponse response) {
+    PendingRatePermit permit = pending.remove(response.requestNumber());
     if (permit != null) {
       decided(
           permit,
-          reply.granted()
-              ? new RatePermitDecision.Granted(reply.waitMillis())
-              : new RatePermitDecision.Refused(reply.waitMillis()),
+          response.granted()
+              ? new RatePermitDecision.Granted(response.waitMillis())
+              : new RatePermitDecision.Refused(response.waitMillis()),
           "agent");
     }
   }
@@ -150,7 +150,7 @@
   }
 
   private void decideLocally(PendingRatePermit permit) {
-    if (permit.over()) {
+    if (permit.isDone()) {
       return;
     }
     OptionalDouble limit = permit.endpoint().limit().requestsPerSecond();
@@ -170,7 +170,7 @@
   }
 
   private void decided(PendingRatePermit permit, RatePermitDecision decision, String by) {
-    if (permit.over()) {
+    if (permit.isDone()) {
       return;
     }
     boolean granted = decision instanceof RatePermitDecision.Granted;
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardServer.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/ForwardServer.java
@@ -103,7 +103,7 @@
             .setWorker(worker)
             .addHttpListener(
                 settings.readinessAddress().getPort(), settings.readinessAddress().getHostString())
-            .setHandler(this::answerReadiness)
+            .setHandler(this::sendReadiness)
             .build();
     readinessListener.start();
   }
@@ -129,7 +129,7 @@
     readinessListener.stop();
   }
 
-  private void answerReadiness(HttpServerExchange exchange) {
+  private void sendReadiness(HttpServerExchange exchange) {
     exchange.setStatusCode(ready.getAsBoolean() ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE);
     exchange.endExchange();
   }
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/PendingRatePermit.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/PendingRatePermit.java
@@ -19,7 +19,7 @@
   private InetSocketAddress agent;
 
   private EventLoop.Timer timer = () -> {};
-  private boolean over;
+  private boolean done;
 
   PendingRatePermit(
       EndpointView endpoint, String requestId, long maxWaitMillis, Listener listener) {
@@ -60,26 +60,26 @@
 
   /** Cancels the wait; the listener is not called any more. */
   void cancel() {
-    over = true;
+    done = true;
     timer.cancel();
   }
 
   void permit() {
-    if (!over) {
+    if (!done) {
       cancel();
       listener.permitGranted();
     }
   }
 
   void refuse() {
-    if (!over) {
+    if (!done) {
       cancel();
       listener.permitRefused();
     }
   }
 
-  boolean over() {
-    return over;
+  boolean isDone() {
+    return done;
   }
 
   /** Receives the decision. */
--- a/runtime/src/main/java/org/hornbeamusher/forwarding/RetryAfterPolicy.java
+++ b/runtime/src/main/java/org/hornbeamusher/forwarding/RetryAfterPolicy.java
@@ -18,7 +18,7 @@
  */
 final class RetryAfterPolicy {
 
-  /** By then two entries in three have read a newer list of endpoints. */
+  /** The time within which two entries in three have read a newer list of endpoints. */
   static final long NEXT_LIST_MILLIS = 400;
 
   /** Slightly less than 2.9 s, within which half of the slots are released under full load. */
--- a/runtime/src/main/java/org/hornbeamusher/holdings/LoadCosts.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/LoadCosts.java
@@ -18,7 +18,7 @@
   /** A load from the engine's cache; a tenth of a load from the store, by the platform's pages. */
   private static final long COPY_MILLIS = 25;
 
-  /** Mean time that an adapter is in use without interruption, measured over the first days. */
+  /** Mean time that an adapter is in use, and occupies its slot, without interruption. */
   private static final long USE_MILLIS = 1_750;
 
   /** Cached adapters per slot, as measured on the first engines. */
--- a/runtime/src/main/java/org/hornbeamusher/holdings/LoadTimeEstimator.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/LoadTimeEstimator.java
@@ -24,7 +24,7 @@
  * </ul>
  *
  * <p><b>Load.</b> Engines differ: a slot becomes free every 36 ms or every 250 ms, an engine caches
- * 36 or 84 unloaded adapters. With the figures of another engine, requests would avoid the engine
+ * 36 or 84 unloaded adapters. With the costs of another engine, requests would avoid the engine
  * that has their adapter cached because the wait for a slot there appears to be seconds, and the
  * adapter would be loaded from the weight store again.
  */
--- a/runtime/src/main/java/org/hornbeamusher/operator/OperatorHost.java
+++ b/runtime/src/main/java/org/hornbeamusher/operator/OperatorHost.java
@@ -6,7 +6,7 @@
 import org.hornbeamusher.ids.ServiceName;
 import org.hornbeamusher.status.ProcessStatus;
 
-/** What the operators' API needs from its process. */
+/** The functions of the process that the operators' API uses. */
 public interface OperatorHost {
 
   /**
--- a/runtime/src/main/java/org/hornbeamusher/process/package-info.java
+++ b/runtime/src/main/java/org/hornbeamusher/process/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What every process of the system has: access to the platform, the current documents, and metrics.
+ * The parts common to all processes of the system: access to the platform, the current documents,
+ * and metrics.
  */
 package org.hornbeamusher.process;
--- a/runtime/src/main/java/org/hornbeamusher/routing/Router.java
+++ b/runtime/src/main/java/org/hornbeamusher/routing/Router.java
@@ -283,7 +283,7 @@
       state.pool.adapterState(adapter, now).attemptEnded(state);
     }
     switch (result) {
-      case AttemptResult.Completed answered -> onAnswered(state, answered, now);
+      case AttemptResult.Completed completed -> onCompleted(state, completed, now);
       case AttemptResult.Failed failed -> onFailed(state, now);
       case AttemptResult.Refused refused -> state.health.probing = false;
       case AttemptResult.Expired expired -> {
@@ -322,15 +322,15 @@
     return endpointPool == null ? 0 : endpointPool.endpoints.stream().mapToInt(e -> e.batch).sum();
   }
 
-  private void onAnswered(EndpointState state, AttemptResult.Completed answered, long now) {
-    long generationTime = answered.totalMillis() - answered.firstTokenMillis();
-    boolean hasTokens = answered.tokens() > 0;
+  private void onCompleted(EndpointState state, AttemptResult.Completed completed, long now) {
+    long generationTime = completed.totalMillis() - completed.firstTokenMillis();
+    boolean hasTokens = completed.tokens() > 0;
     long serviceTime =
-        hasTokens ? generationTime : answered.totalMillis() - answered.loadStallMillis();
+        hasTokens ? generationTime : completed.totalMillis() - completed.loadStallMillis();
     state.pool.recordServiceTime(serviceTime);
     if (settings.ejection()) {
       OutlierEjection.attemptSucceeded(
-          state, hasTokens ? (double) serviceTime / answered.tokens() : serviceTime, now);
+          state, hasTokens ? (double) serviceTime / completed.tokens() : serviceTime, now);
     }
   }
 
--- a/runtime/src/main/java/org/hornbeamusher/sidecar/EngineIncarnationTracker.java
+++ b/runtime/src/main/java/org/hornbeamusher/sidecar/EngineIncarnationTracker.java
@@ -96,7 +96,11 @@
     engineId = Optional.of(id);
   }
 
-  /** Records that the engine does not respond. */
+  /**
+   * Records that the engine is unreachable: its connection was refused, or several consecutive
+   * calls for its report or its id failed. Without a stated start time, an engine that returns
+   * cannot be recognised as the same incarnation, and its id is requested again.
+   */
   void markUnreachable() {
     unreachable = true;
     if (startMillis == EndpointIncarnation.UNKNOWN_START) {
--- a/runtime/src/main/java/org/hornbeamusher/table/Instance.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/Instance.java
@@ -23,7 +23,7 @@
     PoolName pool,
     boolean leaving) {
 
-  /** What runs on an instance. */
+  /** The kind of process that runs on an instance. */
   public enum Role {
     /** Accepts callers' requests. */
     ENTRY,
--- a/runtime/src/main/java/org/hornbeamusher/table/PlatformCalls.java
+++ b/runtime/src/main/java/org/hornbeamusher/table/PlatformCalls.java
@@ -35,24 +35,27 @@
   <T> CompletableFuture<T> read(HttpRequest call, Function<byte[], T> decoder) {
     return client
         .send(call, timeoutMillis)
-        .handle((reply, thrown) -> decode(reply, thrown, decoder, Outcome.NOT_RUN));
+        .handle((response, thrown) -> decode(response, thrown, decoder, Outcome.NOT_RUN));
   }
 
   <T> CompletableFuture<T> write(HttpRequest call, Function<byte[], T> decoder) {
     return client
         .send(call, timeoutMillis)
-        .handle((reply, thrown) -> decode(reply, thrown, decoder, Outcome.UNKNOWN));
+        .handle((response, thrown) -> decode(response, thrown, decoder, Outcome.UNKNOWN));
   }
 
   private static <T> T decode(
-      HttpResponse reply, Throwable thrown, Function<byte[], T> decoder, Outcome ambiguousOutcome) {
+      HttpResponse response,
+      Throwable thrown,
+      Function<byte[], T> decoder,
+      Outcome ambiguousOutcome) {
     if (thrown != null) {
       throw connectionFailure(HornbeamusherException.from(thrown), ambiguousOutcome);
     }
-    switch (reply.status()) {
+    switch (response.status()) {
       case OK, CONFLICT -> {
         try {
-          return decoder.apply(reply.body());
+          return decoder.apply(response.body());
         } catch (HornbeamusherException e) {
           throw ambiguousOutcome.equals(Outcome.UNKNOWN) ? responseLost("unreadable answer") : e;
         }
@@ -60,7 +63,7 @@
       case THROTTLED -> throw HornbeamusherException.notRun(FailureType.PLATFORM_THROTTLED);
       case UNAVAILABLE ->
           throw HornbeamusherException.notRun(FailureType.PLATFORM_UNAVAILABLE, "status 503");
-      default -> throw unexpectedStatus(reply.status(), ambiguousOutcome);
+      default -> throw unexpectedStatus(response.status(), ambiguousOutcome);
     }
   }
 
--- a/runtime/src/test/java/org/hornbeamusher/availability/EndpointAvailabilityTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/availability/EndpointAvailabilityTest.java
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void answerWithoutTimeDoesNotEndBackoff() {
+  void responseWithoutTimeDoesNotEndBackoff() {
     endpoint.recordRetryAfter(new RetryAfter.Millis(3_000), 0);
     endpoint.recordRetryAfter(new RetryAfter.None(), 1_000);
     endpoint.recordRetryAfter(new RetryAfter.Unreadable(), 1_000);
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimBatcherTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimBatcherTest.java
@@ -27,7 +27,7 @@
     for (int i = 0; i < 11; i++) {
       results.add(insert("key-" + i));
     }
-    table.answerAll();
+    table.completeAll();
 
     results.forEach(result -> assertInstanceOf(CommitResult.Committed.class, result.join()));
     assertEquals(List.of(1, 10), table.sizes);
@@ -40,12 +40,12 @@
   @Test
   void conflictOfOneWriteDoesNotFailTheOthers() {
     insert("taken");
-    table.answerAll();
+    table.completeAll();
     insert("first");
     final CompletableFuture<CommitResult> before = insert("a");
     final CompletableFuture<CommitResult> taken = insert("taken");
     final CompletableFuture<CommitResult> after = insert("b");
-    table.answerAll();
+    table.completeAll();
 
     assertInstanceOf(CommitResult.Committed.class, before.join());
     assertInstanceOf(CommitResult.Conflict.class, taken.join());
@@ -57,7 +57,7 @@
     insert("first");
     insert("same");
     CompletableFuture<CommitResult> second = insert("same");
-    table.answerAll();
+    table.completeAll();
 
     assertTrue(table.sizes.stream().allMatch(size -> size == 1));
     assertInstanceOf(CommitResult.Conflict.class, second.join());
@@ -69,14 +69,14 @@
         new Transaction.Condition.Absent(row), new Transaction.Write.Put(row, new byte[1]));
   }
 
-  /** Holds transactions back until {@link #answerAll}. */
+  /** Holds transactions back until {@link #completeAll}. */
   private static final class HeldTable implements Table {
 
     private final InMemoryTable rows = new InMemoryTable();
     private final List<Integer> sizes = new ArrayList<>();
     private final List<Runnable> held = new ArrayList<>();
 
-    void answerAll() {
+    void completeAll() {
       while (!held.isEmpty()) {
         held.remove(0).run();
       }
@@ -95,9 +95,9 @@
     @Override
     public CompletableFuture<CommitResult> commit(Transaction transaction) {
       sizes.add(transaction.writes().size());
-      CompletableFuture<CommitResult> answer = new CompletableFuture<>();
-      held.add(() -> answer.complete(rows.commit(transaction).join()));
-      return answer;
+      CompletableFuture<CommitResult> result = new CompletableFuture<>();
+      held.add(() -> result.complete(rows.commit(transaction).join()));
+      return result;
     }
   }
 }
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimStateMachineTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimStateMachineTest.java
@@ -48,7 +48,7 @@
         .withAction(6, new Send())
         .withAction(4, new Dispatch())
         .withAction(4, new Finish())
-        .withAction(2, new LoseAnswers())
+        .withAction(2, new LoseResponses())
         .withAction(1, new Outage())
         .withAction(2, new RetryPendingWrites())
         .withAction(2, new AdvanceClock())
@@ -156,13 +156,15 @@
     }
   }
 
-  private static final class LoseAnswers implements Action.Independent<World> {
+  private static final class LoseResponses implements Action.Independent<World> {
     @Override
     public Arbitrary<Transformer<World>> transformer() {
       return Arbitraries.integers()
           .between(1, 9)
           .map(
-              n -> Transformer.mutate("lose responses: " + n, world -> world.table.loseAnswers(n)));
+              n ->
+                  Transformer.mutate(
+                      "lose responses: " + n, world -> world.table.loseResponses(n)));
     }
   }
 
--- a/runtime/src/test/java/org/hornbeamusher/claims/ClaimStoreTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/claims/ClaimStoreTest.java
@@ -41,17 +41,17 @@
 
   @Test
   void retryGetsTheStoredResponse() {
-    StoredResponse answer = new StoredResponse(201, "text/plain", bytes("booked"));
-    firstEntry.finish(acquire(firstEntry), Outcome.RAN, Optional.of(answer)).join();
+    StoredResponse response = new StoredResponse(201, "text/plain", bytes("booked"));
+    firstEntry.finish(acquire(firstEntry), Outcome.RAN, Optional.of(response)).join();
 
-    assertEquals(new ClaimResult.Ran(Optional.of(answer)), claim(secondEntry));
+    assertEquals(new ClaimResult.Ran(Optional.of(response)), claim(secondEntry));
   }
 
   @Test
   void tooLongResponseIsNotStored() {
     byte[] body = new byte[StoredResponse.MAXIMUM_LENGTH + 1];
-    StoredResponse answer = new StoredResponse(200, "text/plain", body);
-    firstEntry.finish(acquire(firstEntry), Outcome.RAN, Optional.of(answer)).join();
+    StoredResponse response = new StoredResponse(200, "text/plain", body);
+    firstEntry.finish(acquire(firstEntry), Outcome.RAN, Optional.of(response)).join();
 
     ClaimResult result = claim(secondEntry);
     assertEquals(new ClaimResult.Ran(Optional.empty()), result);
@@ -77,7 +77,7 @@
    */
   @Test
   void lostResponseIsResolvedByTheToken() {
-    table.loseAnswers(1);
+    table.loseResponses(1);
 
     assertInstanceOf(ClaimResult.Acquired.class, claim(firstEntry));
     assertInstanceOf(ClaimResult.InProgress.class, claim(secondEntry));
@@ -227,7 +227,7 @@
   @Test
   void repeatedOutcomeWriteDoesNotChangeTheNextClaim() {
     Claim claim = acquire(firstEntry);
-    table.loseAnswers(1);
+    table.loseResponses(1);
     table.beforeNextCommit(() -> {});
     table.beforeNextCommit(() -> assertInstanceOf(ClaimResult.Acquired.class, claim(secondEntry)));
 
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentStoreTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentStoreTest.java
@@ -92,7 +92,7 @@
    */
   @Test
   void lostResponseIsResolvedByReadingBack() {
-    table.loseAnswers(1);
+    table.loseResponses(1);
 
     assertEquals(accepted(1), submit(7, 0));
     assertEquals(1, store.history(DISPATCH, OWNER, 0, 10).join().size());
@@ -104,7 +104,7 @@
    */
   @Test
   void lostResponseIsResolvedAfterAnotherChange() {
-    table.loseAnswers(1);
+    table.loseResponses(1);
     CompletableFuture<SubmitResult> first =
         new DocumentStore(
                 new AfterCommitTable(table, () -> submit(8, 1)),
@@ -122,7 +122,7 @@
    */
   @Test
   void lostResponseWithoutReadBackLeavesTheOutcomeUnknown() {
-    table.loseAnswers(1);
+    table.loseResponses(1);
     CompletableFuture<SubmitResult> result =
         new DocumentStore(
                 new AfterCommitTable(table, () -> table.down(true)), clock, () -> "s-first")
--- a/runtime/src/test/java/org/hornbeamusher/documents/DocumentSyncTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/documents/DocumentSyncTest.java
@@ -117,14 +117,14 @@
   @Test
   void secondPollJoinsTheOneInProgress() {
     AtomicInteger scans = new AtomicInteger();
-    CompletableFuture<List<Row>> answer = new CompletableFuture<>();
+    CompletableFuture<List<Row>> response = new CompletableFuture<>();
     Table slow =
         new AfterCommitTable(table, () -> {}) {
           @Override
           public CompletableFuture<List<Row>> scan(
               String name, String prefix, String after, int limit) {
             scans.incrementAndGet();
-            return answer;
+            return response;
           }
         };
     DocumentSync sync =
@@ -138,7 +138,7 @@
     CompletableFuture<Void> poll = sync.poll();
     sync.poll();
     assertEquals(1, scans.get());
-    answer.complete(List.of());
+    response.complete(List.of());
     poll.join();
     sync.poll().join();
     assertEquals(2, scans.get());
--- a/runtime/src/test/java/org/hornbeamusher/fencing/FencingNumberAllocatorTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/fencing/FencingNumberAllocatorTest.java
@@ -41,7 +41,7 @@
   /** The response to a write that took effect is lost; no number may be skipped or reused. */
   @Test
   void lostResponsesAreResolvedByReadingBack() {
-    table.loseAnswers(1);
+    table.loseResponses(1);
     assertEquals(1, acquire("one", 0));
     assertEquals(2, acquire("two", 0));
   }
--- a/runtime/src/test/java/org/hornbeamusher/holdings/LoadTimeEstimatorTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/holdings/LoadTimeEstimatorTest.java
@@ -17,7 +17,7 @@
   private static final long CACHED_MILLIS = 30;
   private final LoadTimeEstimator times = new LoadTimeEstimator(SLOTS);
 
-  /** Without observations, the figures of other engines apply. */
+  /** Without observations, the costs of other engines apply. */
   @Test
   void initialEstimateWithoutObservations() {
     assertEquals(84, times.costs().cachedAdapters());
--- a/runtime/src/test/java/org/hornbeamusher/http/HttpClientTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/http/HttpClientTest.java
@@ -102,13 +102,13 @@
   void bodiesOfAnySizeAreSentAndReceived() {
     for (int size : new int[] {0, 1, 1_000, 1_000_000}) {
       String body = "x".repeat(size);
-      HttpResponse reply =
+      HttpResponse response =
           client
               .send(
                   HttpRequest.postJson(uri("/echo"), body.getBytes(StandardCharsets.UTF_8)),
                   TIMEOUT_MILLIS)
               .join();
-      assertEquals("POST " + body, new String(reply.body(), StandardCharsets.UTF_8));
+      assertEquals("POST " + body, new String(response.body(), StandardCharsets.UTF_8));
     }
   }
 
@@ -123,9 +123,9 @@
                   HttpRequest.postJson(uri("/echo"), body.getBytes(StandardCharsets.UTF_8)),
                   TIMEOUT_MILLIS)
               .thenAccept(
-                  reply ->
+                  response ->
                       assertEquals(
-                          "POST " + body, new String(reply.body(), StandardCharsets.UTF_8)));
+                          "POST " + body, new String(response.body(), StandardCharsets.UTF_8)));
     }
     CompletableFuture.allOf(all).join();
   }
@@ -160,10 +160,12 @@
    */
   @Test
   void largeResponseOverSlowConnectionArrives() {
-    HttpResponse reply = client.send(HttpRequest.get(uri("/slow")), RESPONSE_TIMEOUT_MILLIS).join();
-    assertEquals(PARTS * PART_BYTES, reply.body().length);
-    assertTrue(reply.transfer().millis() > RESPONSE_TIMEOUT_MILLIS, reply.transfer().toString());
-    assertEquals(PARTS * PART_BYTES, reply.transfer().bytes());
+    HttpResponse response =
+        client.send(HttpRequest.get(uri("/slow")), RESPONSE_TIMEOUT_MILLIS).join();
+    assertEquals(PARTS * PART_BYTES, response.body().length);
+    assertTrue(
+        response.transfer().millis() > RESPONSE_TIMEOUT_MILLIS, response.transfer().toString());
+    assertEquals(PARTS * PART_BYTES, response.transfer().bytes());
   }
 
   /** Guards against a failure that does not report how much of the response was received. */
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerDrainTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerDrainTest.java
@@ -34,7 +34,7 @@
     endpoint.runUntil(10_000);
 
     FakeEndpoint.Result refused = endpoint.results.get(waiting);
-    AgentAction.Refuse refusal = assertInstanceOf(AgentAction.Refuse.class, refused.answer());
+    AgentAction.Refuse refusal = assertInstanceOf(AgentAction.Refuse.class, refused.action());
     assertEquals(FailureType.ENDPOINT_LEAVING, refusal.type());
     assertTrue(refused.answeredMillis() <= DRAIN_START_MILLIS + DRAINED_MILLIS / 2 + 100);
     assertTrue(endpoint.results.get(running).inTime(), "the running request finishes in time");
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerLoadPatternsTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerLoadPatternsTest.java
@@ -158,7 +158,7 @@
    * responses that are late.
    */
   @Test
-  void overloadAnswersNearCapacityInTime() {
+  void overloadIsServedNearCapacityInTime() {
     for (int times : List.of(2, 10)) {
       FakeEndpoint endpoint = overloaded(settings(2, 8), times);
       double ideal = 20_000.0 * 8 / 500;
@@ -189,7 +189,7 @@
   }
 
   private static void assertRefusedOrInTime(FakeEndpoint.Result result) {
-    if (result.answer() instanceof AgentAction.Refuse refuse) {
+    if (result.action() instanceof AgentAction.Refuse refuse) {
       assertTrue(result.answeredMillis() < result.request().deadlineMillis());
       assertTrue(refuse.retryAfterMillis() > 0);
     } else {
@@ -312,7 +312,7 @@
         endpoint.results(request -> request.adapter().orElseThrow().toString().contains("broken"));
     assertEquals(100, broken.size());
     for (FakeEndpoint.Result result : broken) {
-      AgentAction.Refuse refuse = (AgentAction.Refuse) result.answer();
+      AgentAction.Refuse refuse = (AgentAction.Refuse) result.action();
       assertEquals(org.hornbeamusher.failure.FailureType.LOAD_FAILED, refuse.type());
       assertTrue(result.answeredMillis() - result.request().arrivedMillis() <= 1_500);
     }
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerPropertiesTest.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/AgentSchedulerPropertiesTest.java
@@ -25,7 +25,7 @@
   private static final int ADAPTERS = 12;
 
   @Property(tries = 300, seed = "4207")
-  void everyRequestGetsExactlyOneAnswerAndNothingInUseIsEvicted(
+  void everyRequestGetsExactlyOneResponseAndNothingInUseIsEvicted(
       @ForAll long seed,
       @ForAll @IntRange(min = 1, max = 4) int slots,
       @ForAll @IntRange(min = 1, max = 6) int batch) {
@@ -123,7 +123,7 @@
   private static double startedTokens(FakeEndpoint endpoint, String partner) {
     List<FakeEndpoint.Result> started =
         endpoint.results(request -> request.partner().value().equals(partner)).stream()
-            .filter(result -> result.answer() instanceof AgentAction.Start)
+            .filter(result -> result.action() instanceof AgentAction.Start)
             .toList();
     return started.stream().mapToInt(result -> result.request().costTokens()).sum();
   }
--- a/runtime/src/test/java/org/hornbeamusher/scheduling/FakeEndpoint.java
+++ b/runtime/src/test/java/org/hornbeamusher/scheduling/FakeEndpoint.java
@@ -18,20 +18,20 @@
 
   /** The outcome of a request. */
   record Result(
-      QueuedRequest request, AgentAction answer, long answeredMillis, long finishedMillis) {
+      QueuedRequest request, AgentAction action, long answeredMillis, long finishedMillis) {
 
     boolean inTime() {
-      return answer instanceof AgentAction.Start
+      return action instanceof AgentAction.Start
           && finishedMillis > 0
           && finishedMillis <= request.deadlineMillis();
     }
 
     boolean refused() {
-      return answer instanceof AgentAction.Refuse;
+      return action instanceof AgentAction.Refuse;
     }
 
     long stall() {
-      return ((AgentAction.Start) answer).loadStallMillis();
+      return ((AgentAction.Start) action).loadStallMillis();
     }
   }
 
@@ -160,7 +160,7 @@
     for (AgentAction action : scheduler.poll(now)) {
       switch (action) {
         case AgentAction.Start start -> start(start);
-        case AgentAction.Refuse refuse -> answer(refuse.ticket(), refuse);
+        case AgentAction.Refuse refuse -> recordAction(refuse.ticket(), refuse);
         case AgentAction.Load load -> load(load);
         case AgentAction.RequestPermit ask -> {}
       }
@@ -168,7 +168,7 @@
   }
 
   private void start(AgentAction.Start start) {
-    answer(start.ticket(), start);
+    recordAction(start.ticket(), start);
     QueuedRequest request = requests.get(start.ticket());
     request
         .adapter()
@@ -190,7 +190,7 @@
             end(start.ticket());
             results.computeIfPresent(
                 start.ticket(),
-                (key, old) -> new Result(old.request, old.answer, old.answeredMillis, now));
+                (key, old) -> new Result(old.request, old.action, old.answeredMillis, now));
             scheduler.finished(start.ticket(), now);
             poll();
           }
@@ -238,7 +238,7 @@
     poll();
   }
 
-  private void answer(long ticket, AgentAction action) {
+  private void recordAction(long ticket, AgentAction action) {
     Result earlier = results.put(ticket, new Result(requests.get(ticket), action, now, 0));
     require(earlier == null, "request answered twice: " + ticket);
   }
--- a/runtime/src/test/java/org/hornbeamusher/table/InMemoryTable.java
+++ b/runtime/src/test/java/org/hornbeamusher/table/InMemoryTable.java
@@ -22,7 +22,7 @@
   private int reads;
 
   /** Makes the next commits take effect and fail with a lost response. */
-  public void loseAnswers(int count) {
+  public void loseResponses(int count) {
     lostResponses = count;
   }
 
--- a/tool/src/main/java/org/hornbeamusher/bench/faults/FaultHistory.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/faults/FaultHistory.java
@@ -8,9 +8,9 @@
  *
  * <p>The seed determines which faults occur, how often and when, and what callers and operators do.
  * Time is virtual. The decisions and services under test are those of the daemons ({@code
- * ClaimKeeper}, {@code DocumentStore}, {@code DocumentSync}, {@code PeerTable}, {@code
- * HeartbeatMonitor}, {@code AnswerAssembler}, {@code AgentScheduler}); the table, the network, the
- * engine and the processes around them are fakes.
+ * ClaimStore}, {@code DocumentStore}, {@code DocumentSync}, {@code PeerTable}, {@code
+ * HeartbeatMonitor}, {@code ResponseAssembler}, {@code AgentScheduler}); the table, the network,
+ * the engine and the processes around them are fakes.
  *
  * <p>Each history has three independent parts: claims, documents and dispatch. Towards the end of
  * each part all faults stop, and the invariants of the steady state are checked.
--- a/tool/src/main/java/org/hornbeamusher/bench/path/PathBenchmark.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/path/PathBenchmark.java
@@ -82,7 +82,7 @@
     out.printf("%n### %s%n%n", load.name());
     out.println("| | direct | through entry and agent | difference | ratio |");
     out.println("|---|---|---|---|---|");
-    row(out, "answers/s", direct, through, LoadReport::answersPerSecond);
+    row(out, "answers/s", direct, through, LoadReport::responsesPerSecond);
     row(out, "tokens/s", direct, through, LoadReport::tokensPerSecond);
     row(out, "first token p50 ms", direct, through, r -> at(r.firstToken(), 50));
     row(out, "first token p99 ms", direct, through, r -> at(r.firstToken(), 99));
--- a/tool/src/main/java/org/hornbeamusher/bench/policy/PolicyBench.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/policy/PolicyBench.java
@@ -66,15 +66,15 @@
     for (int i = 0; i < variants.size(); i++) {
       PolicyVariant variant = variants.get(i);
       RunStatistics statistics = results.get(i);
-      String figures = figures(statistics, pattern.pooled());
+      String row = results(statistics, pattern.pooled());
       if (variant.name().equals(PolicyVariant.OURS)) {
-        ours = figures;
+        ours = row;
         oursStatistics = statistics;
-      } else if (figures.equals(ours)) {
+      } else if (row.equals(ours)) {
         unchanged.add(variant.name());
         continue;
       }
-      out.println("| " + variant.name() + " | " + figures);
+      out.println("| " + variant.name() + " | " + row);
     }
     out.println();
     if (!unchanged.isEmpty()) {
@@ -104,7 +104,7 @@
     }
   }
 
-  static String figures(RunStatistics statistics, boolean pooled) {
+  static String results(RunStatistics statistics, boolean pooled) {
     long[] stalls =
         statistics.stalls.stream().mapToLong(RunStatistics.LoadStall::millis).sorted().toArray();
     double mean = java.util.Arrays.stream(stalls).average().orElse(0);
--- a/tool/src/main/java/org/hornbeamusher/bench/policy/PolicyVariant.java
+++ b/tool/src/main/java/org/hornbeamusher/bench/policy/PolicyVariant.java
@@ -81,8 +81,8 @@
         routing("spill", switched(all, true, false, true, true)),
         routing("own work", switched(all, true, true, false, true)),
         routing("ejection", switched(all, true, true, true, false)),
-        routing("zone preference", figures(all, 0, all.prefixSavingMillis())),
-        routing("prefix memory", figures(all, all.crossZoneMillis(), 0)));
+        routing("zone preference", settings(all, 0, all.prefixSavingMillis())),
+        routing("prefix memory", settings(all, all.crossZoneMillis(), 0)));
   }
 
   private static PolicyVariant routing(String mechanism, RoutingSettings settings) {
@@ -102,7 +102,7 @@
         ejection);
   }
 
-  private static RoutingSettings figures(
+  private static RoutingSettings settings(
       RoutingSettings all, long crossZoneMillis, long prefixMillis) {
     return new RoutingSettings(
         all.candidateCount(),
--- a/tool/src/main/java/org/hornbeamusher/explain/Explanation.java
+++ b/tool/src/main/java/org/hornbeamusher/explain/Explanation.java
@@ -183,7 +183,7 @@
       if (line.name().equals(ENGINE_ORDERED) && !adapters.contains(line.field("key"))) {
         return false;
       }
-      // What other entries logged about these engines did not influence this request.
+      // Events that other entries logged about these engines did not influence this request.
       boolean agents = agentLogs.contains(line.source());
       return line.field(ENDPOINT).isEmpty()
           ? agents
--- a/tool/src/main/java/org/hornbeamusher/load/LoadReport.java
+++ b/tool/src/main/java/org/hornbeamusher/load/LoadReport.java
@@ -89,7 +89,7 @@
    *
    * @return responses per second
    */
-  public double answersPerSecond() {
+  public double responsesPerSecond() {
     return answered * MICROS_PER_SECOND / Math.max(1, elapsedMicros);
   }
 
@@ -119,7 +119,7 @@
         wrong,
         lost,
         repeated);
-    out.printf("%.1f answers/s, %.0f tokens/s%n", answersPerSecond(), tokensPerSecond());
+    out.printf("%.1f answers/s, %.0f tokens/s%n", responsesPerSecond(), tokensPerSecond());
     new TreeMap<>(refused).forEach((type, n) -> out.printf("  refused %-24s %d%n", type, n));
     new TreeMap<>(failed).forEach((type, n) -> out.printf("  failed  %-24s %d%n", type, n));
     examples.forEach(example -> out.println("  " + example));
--- a/tool/src/test/java/org/hornbeamusher/bench/policy/PolicyPatternsTest.java
+++ b/tool/src/test/java/org/hornbeamusher/bench/policy/PolicyPatternsTest.java
@@ -22,9 +22,9 @@
   }
 
   @Test
-  void sameSeedGivesTheSameFigures() {
-    String once = PolicyBench.figures(ours(LoadPattern.BURST), false);
-    assertEquals(once, PolicyBench.figures(ours(LoadPattern.BURST), false));
+  void sameSeedGivesTheSameResults() {
+    String once = PolicyBench.results(ours(LoadPattern.BURST), false);
+    assertEquals(once, PolicyBench.results(ours(LoadPattern.BURST), false));
   }
 
   // For ten seconds in every minute the rate is three times the average and nearly twice the
