--- a/runtime/src/main/java/org/hornbeamusher/holdings/LoadCosts.java
+++ b/runtime/src/main/java/org/hornbeamusher/holdings/LoadCosts.java
@@ -13,16 +13,16 @@
     long storeLoadMillis, long cachedLoadMillis, long slotWaitMillis, int cachedAdapters) {
 
   /** A load from the weight store; the engines' data sheets state 250 to 290 ms. */
-  private static final long STORE_MILLIS = 250;
+  private static final long STORE_LOAD_MILLIS = 250;
 
   /** A load from the engine's cache; a tenth of a load from the store, by the platform's pages. */
-  private static final long COPY_MILLIS = 25;
+  private static final long CACHED_LOAD_MILLIS = 25;
 
   /** Mean time that an adapter is in use, and occupies its slot, without interruption. */
   private static final long USE_MILLIS = 1_750;
 
-  /** Cached adapters per slot, as measured on the first engines. */
-  private static final int COPIES_A_PLACE = 6;
+  /** Number of unloaded adapters that an engine caches, per adapter slot. */
+  private static final int CACHED_ADAPTERS_PER_SLOT = 6;
 
   /**
    * Returns the estimate used before the first load.
@@ -33,6 +33,9 @@
   public static LoadCosts initialEstimate(int slots) {
     int atLeastOne = Math.max(1, slots);
     return new LoadCosts(
-        STORE_MILLIS, COPY_MILLIS, USE_MILLIS / atLeastOne, COPIES_A_PLACE * atLeastOne);
+        STORE_LOAD_MILLIS,
+        CACHED_LOAD_MILLIS,
+        USE_MILLIS / atLeastOne,
+        CACHED_ADAPTERS_PER_SLOT * atLeastOne);
   }
 }
